--- a/ctl/platformcalls.cpp
+++ b/ctl/blockingplatformclient.cpp
@@ -1,4 +1,4 @@
-#include "platformcalls.h"
+#include "blockingplatformclient.h"
 
 #include <future>
 
--- a/ctl/platformcalls.h
+++ b/ctl/blockingplatformclient.h
@@ -8,7 +8,7 @@
 #include <asio/io_context.hpp>
 
 #include "plantainswitch/plantainswitch.h"
-#include "platform.h"
+#include "platformclient.h"
 
 namespace plantainswitch::ctl {
 
--- a/ctl/commands.h
+++ b/ctl/commands.h
@@ -3,8 +3,8 @@
 #include <string>
 #include <vector>
 
+#include "blockingplatformclient.h"
 #include "entryfile.h"
-#include "platformcalls.h"
 
 namespace plantainswitch::ctl {
 
--- a/ctl/explain.cpp
+++ b/ctl/explain.cpp
@@ -1,7 +1,7 @@
 #include <fstream>
 #include <iostream>
 
-#include "plantainswitch/observe/story.h"
+#include "plantainswitch/observe/timeline.h"
 
 #include "commands.h"
 
--- a/daemon/parse.cpp
+++ b/daemon/callerrequest.cpp
@@ -1,4 +1,4 @@
-#include "parse.h"
+#include "callerrequest.h"
 
 #include <nlohmann/json.hpp>
 
--- a/daemon/claimservice.h
+++ b/daemon/claimservice.h
@@ -11,8 +11,8 @@
 #include "httpclient.h"
 #include "node.h"
 #include "peercalls.h"
-#include "peerlink.h"
-#include "platform.h"
+#include "peertransport.h"
+#include "platformclient.h"
 
 namespace plantainswitch {
 
--- a/daemon/keeperservice.cpp
+++ b/daemon/coordinatorservice.cpp
@@ -1,4 +1,4 @@
-#include "keeperservice.h"
+#include "coordinatorservice.h"
 
 #include <algorithm>
 
--- a/daemon/notices.cpp
+++ b/daemon/leavinggossip.cpp
@@ -1,4 +1,4 @@
-#include "notices.h"
+#include "leavinggossip.h"
 
 #include <algorithm>
 
--- a/daemon/beats.cpp
+++ b/daemon/membershipservice.cpp
@@ -1,4 +1,4 @@
-#include "beats.h"
+#include "membershipservice.h"
 
 #include <asio/post.hpp>
 
--- a/daemon/orders.cpp
+++ b/daemon/orderservice.cpp
@@ -1,4 +1,4 @@
-#include "orders.h"
+#include "orderservice.h"
 
 #include <algorithm>
 
--- a/daemon/orders.h
+++ b/daemon/orderservice.h
@@ -9,7 +9,7 @@
 #include <asio/strand.hpp>
 
 #include "httpclient.h"
-#include "platform.h"
+#include "platformclient.h"
 
 #include "node.h"
 
--- a/daemon/peerlink.cpp
+++ b/daemon/peertransport.cpp
@@ -1,4 +1,4 @@
-#include "peerlink.h"
+#include "peertransport.h"
 
 #include <asio/buffer.hpp>
 #include <asio/post.hpp>
--- a/daemon/sync.cpp
+++ b/daemon/platformsync.cpp
@@ -1,4 +1,4 @@
-#include "sync.h"
+#include "platformsync.h"
 
 #include <asio/post.hpp>
 
--- a/daemon/sync.h
+++ b/daemon/platformsync.h
@@ -6,9 +6,9 @@
 #include <asio/steady_timer.hpp>
 #include <asio/strand.hpp>
 
-#include "platform.h"
+#include "platformclient.h"
 
-#include "beats.h"
+#include "membershipservice.h"
 #include "node.h"
 #include "peercalls.h"
 
--- a/daemon/passage.h
+++ b/daemon/requesthandler.h
@@ -8,12 +8,12 @@
 #include "httpclient.h"
 #include "httpserver.h"
 
+#include "callerrequest.h"
 #include "claimservice.h"
 #include "node.h"
-#include "parse.h"
 #include "refusal.h"
-#include "slots.h"
-#include "suspectnews.h"
+#include "slotclient.h"
+#include "suspectbroadcaster.h"
 
 namespace plantainswitch {
 
--- a/daemon/passagerelay.cpp
+++ b/daemon/requestrelay.cpp
@@ -1,4 +1,4 @@
-#include "passage.h"
+#include "requesthandler.h"
 
 #include <fmt/format.h>
 
--- a/daemon/passageresume.cpp
+++ b/daemon/requestresume.cpp
@@ -1,4 +1,4 @@
-#include "passage.h"
+#include "requesthandler.h"
 
 namespace plantainswitch {
 
--- a/daemon/requestpath.cpp
+++ b/daemon/requestservice.cpp
@@ -1,6 +1,6 @@
-#include "requestpath.h"
+#include "requestservice.h"
 
-#include "passage.h"
+#include "requesthandler.h"
 
 namespace plantainswitch {
 
--- a/daemon/requestpath.h
+++ b/daemon/requestservice.h
@@ -9,8 +9,8 @@
 
 #include "claimservice.h"
 #include "node.h"
-#include "slots.h"
-#include "suspectnews.h"
+#include "slotclient.h"
+#include "suspectbroadcaster.h"
 
 namespace plantainswitch {
 
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -6,23 +6,23 @@
 #include <asio/signal_set.hpp>
 #include <asio/steady_timer.hpp>
 
-#include "beats.h"
 #include "claimservice.h"
+#include "coordinatorservice.h"
 #include "httpclient.h"
 #include "httpserver.h"
-#include "keeperservice.h"
+#include "leavinggossip.h"
 #include "limitservice.h"
+#include "membershipservice.h"
 #include "node.h"
-#include "notices.h"
-#include "orders.h"
+#include "orderservice.h"
 #include "peercalls.h"
-#include "peerlink.h"
-#include "requestpath.h"
+#include "peertransport.h"
+#include "platformsync.h"
+#include "requestservice.h"
 #include "shardsync.h"
-#include "slots.h"
+#include "slotclient.h"
 #include "statuswriter.h"
-#include "suspectnews.h"
-#include "sync.h"
+#include "suspectbroadcaster.h"
 #include "workerpause.h"
 
 namespace plantainswitch {
--- a/daemon/shardsync.h
+++ b/daemon/shardsync.h
@@ -5,7 +5,7 @@
 #include <asio/steady_timer.hpp>
 
 #include "node.h"
-#include "peerlink.h"
+#include "peertransport.h"
 
 namespace plantainswitch {
 
--- a/daemon/slots.cpp
+++ b/daemon/slotclient.cpp
@@ -1,4 +1,4 @@
-#include "slots.h"
+#include "slotclient.h"
 
 #include <algorithm>
 #include <set>
--- a/daemon/slots.h
+++ b/daemon/slotclient.h
@@ -9,10 +9,10 @@
 
 #include <asio/steady_timer.hpp>
 
+#include "coordinatorservice.h"
 #include "heldslots.h"
-#include "keeperservice.h"
 #include "node.h"
-#include "peerlink.h"
+#include "peertransport.h"
 
 namespace plantainswitch {
 
--- a/daemon/statuswriter.h
+++ b/daemon/statuswriter.h
@@ -5,7 +5,7 @@
 #include <asio/steady_timer.hpp>
 #include <asio/strand.hpp>
 
-#include "platform.h"
+#include "platformclient.h"
 
 #include "node.h"
 
--- a/daemon/suspectnews.cpp
+++ b/daemon/suspectbroadcaster.cpp
@@ -1,4 +1,4 @@
-#include "suspectnews.h"
+#include "suspectbroadcaster.h"
 
 namespace plantainswitch {
 
--- a/daemon/suspectnews.h
+++ b/daemon/suspectbroadcaster.h
@@ -3,7 +3,7 @@
 #include <memory>
 
 #include "node.h"
-#include "peerlink.h"
+#include "peertransport.h"
 
 namespace plantainswitch {
 
--- a/gateway/datacentrelinks.cpp
+++ b/gateway/datacentremonitor.cpp
@@ -1,4 +1,4 @@
-#include "datacentrelinks.h"
+#include "datacentremonitor.h"
 
 #include <memory>
 #include <utility>
--- a/gateway/datacentrelinks.h
+++ b/gateway/datacentremonitor.h
@@ -6,7 +6,7 @@
 
 #include "plantainswitch/routing/reachability.h"
 
-#include "fleetlink.h"
+#include "fleetgossip.h"
 #include "gatewaystate.h"
 
 namespace plantainswitch::gateway {
--- a/gateway/fleetkeeping.cpp
+++ b/gateway/fleetcoordination.cpp
@@ -1,4 +1,4 @@
-#include "fleetlink.h"
+#include "fleetgossip.h"
 
 #include "plantainswitch/base/hash.h"
 
--- a/gateway/fleetlink.h
+++ b/gateway/fleetgossip.h
@@ -11,7 +11,7 @@
 
 #include "peer.pb.h"
 
-#include "plantainswitch/routing/enginekeeper.h"
+#include "plantainswitch/routing/enginecoordinator.h"
 #include "plantainswitch/routing/routercontacts.h"
 
 #include "gatewaystate.h"
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -10,13 +10,13 @@
 #include <asio/steady_timer.hpp>
 
 #include "callerconnection.h"
-#include "datacentrelinks.h"
-#include "exchange.h"
-#include "figurelog.h"
-#include "fleetlink.h"
+#include "datacentremonitor.h"
+#include "fleetgossip.h"
+#include "gatewayrequesthandler.h"
 #include "gatewaystate.h"
 #include "logwriter.h"
-#include "plantainswitch/observe/pausewatch.h"
+#include "performancelogger.h"
+#include "plantainswitch/observe/pausedetector.h"
 #include "storefollower.h"
 #include "storeview.h"
 
--- a/gateway/exchangeplace.cpp
+++ b/gateway/gatewayrequestdispatch.cpp
@@ -1,4 +1,4 @@
-#include "exchange.h"
+#include "gatewayrequesthandler.h"
 
 #include <algorithm>
 
--- a/gateway/exchange.h
+++ b/gateway/gatewayrequesthandler.h
@@ -9,7 +9,7 @@
 #include "plantainswitch/routing/eventstream.h"
 
 #include "callerconnection.h"
-#include "fleetlink.h"
+#include "fleetgossip.h"
 #include "gatewaystate.h"
 
 namespace plantainswitch::gateway {
--- a/gateway/gatewaysettings.h
+++ b/gateway/gatewaysettings.h
@@ -10,8 +10,8 @@
 #include "plantainswitch/membership/vm.h"
 #include "plantainswitch/observe/event.h"
 #include "plantainswitch/routing/admission.h"
-#include "plantainswitch/routing/choice.h"
-#include "plantainswitch/routing/fleetretries.h"
+#include "plantainswitch/routing/fleetretrybudget.h"
+#include "plantainswitch/routing/selection.h"
 
 namespace plantainswitch::gateway {
 
--- a/gateway/gatewaystate.h
+++ b/gateway/gatewaystate.h
@@ -9,14 +9,14 @@
 #include <asio/io_context.hpp>
 
 #include "plantainswitch/observe/metrics.h"
-#include "plantainswitch/routing/fleetretries.h"
+#include "plantainswitch/routing/fleetretrybudget.h"
 #include "plantainswitch/routing/peerloads.h"
 #include "plantainswitch/routing/serviceestimator.h"
 #include "plantainswitch/routing/updatelog.h"
 
 #include "dialect.h"
 #include "gatewaysettings.h"
-#include "upstreams.h"
+#include "upstreamregistry.h"
 
 namespace plantainswitch::gateway {
 
--- a/gateway/figurelog.cpp
+++ b/gateway/performancelogger.cpp
@@ -1,4 +1,4 @@
-#include "figurelog.h"
+#include "performancelogger.h"
 
 #include <algorithm>
 #include <cmath>
--- a/gateway/plainclient.cpp
+++ b/gateway/sequentialhttpclient.cpp
@@ -1,4 +1,4 @@
-#include "plainclient.h"
+#include "sequentialhttpclient.h"
 
 #include <fmt/format.h>
 
--- a/gateway/storefollower.h
+++ b/gateway/storefollower.h
@@ -8,7 +8,7 @@
 
 #include "plantainswitch/membership/freshness.h"
 
-#include "plainclient.h"
+#include "sequentialhttpclient.h"
 
 namespace plantainswitch::gateway {
 
--- a/gateway/upstreams.cpp
+++ b/gateway/upstreamregistry.cpp
@@ -1,4 +1,4 @@
-#include "upstreams.h"
+#include "upstreamregistry.h"
 
 #include <algorithm>
 
--- a/gateway/upstreams.h
+++ b/gateway/upstreamregistry.h
@@ -6,9 +6,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "plantainswitch/routing/choice.h"
 #include "plantainswitch/routing/peerloads.h"
 #include "plantainswitch/routing/replica.h"
+#include "plantainswitch/routing/selection.h"
 
 #include "upstreamconnection.h"
 
--- a/include/plantainswitch/limits/fairqueue.h
+++ b/include/plantainswitch/limits/fairqueue.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "plantainswitch/base/clock.h"
-#include "plantainswitch/placement/keeper.h"
+#include "plantainswitch/placement/coordinator.h"
 #include "plantainswitch/placement/messages.h"
 
 namespace plantainswitch {
--- a/include/plantainswitch/placement/chathints.h
+++ b/include/plantainswitch/placement/chathints.h
@@ -7,7 +7,7 @@
 
 #include "plantainswitch/base/clock.h"
 #include "plantainswitch/membership/members.h"
-#include "plantainswitch/placement/chatmemory.h"
+#include "plantainswitch/placement/chataffinity.h"
 #include "plantainswitch/placement/messages.h"
 
 namespace plantainswitch {
--- a/include/plantainswitch/placement/keeper.h
+++ b/include/plantainswitch/placement/coordinator.h
@@ -8,8 +8,8 @@
 
 #include "plantainswitch/base/clock.h"
 #include "plantainswitch/base/lockorder.h"
+#include "plantainswitch/placement/chataffinity.h"
 #include "plantainswitch/placement/chathints.h"
-#include "plantainswitch/placement/chatmemory.h"
 #include "plantainswitch/placement/messages.h"
 
 namespace plantainswitch {
--- a/include/plantainswitch/placement/slotsync.h
+++ b/include/plantainswitch/placement/slotsync.h
@@ -4,7 +4,7 @@
 #include <map>
 #include <vector>
 
-#include "plantainswitch/placement/keeper.h"
+#include "plantainswitch/placement/coordinator.h"
 
 namespace plantainswitch {
 
--- a/include/plantainswitch/routing/enginekeeper.h
+++ b/include/plantainswitch/routing/enginecoordinator.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "plantainswitch/base/clock.h"
-#include "plantainswitch/routing/choice.h"
+#include "plantainswitch/routing/selection.h"
 
 namespace plantainswitch {
 
--- a/include/plantainswitch/routing/peerloads.h
+++ b/include/plantainswitch/routing/peerloads.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "plantainswitch/base/clock.h"
-#include "plantainswitch/routing/crashsuspects.h"
+#include "plantainswitch/routing/crashquarantine.h"
 
 namespace plantainswitch {
 
--- a/include/plantainswitch/routing/choice.h
+++ b/include/plantainswitch/routing/selection.h
@@ -7,9 +7,9 @@
 #include <string_view>
 
 #include "plantainswitch/base/clock.h"
-#include "plantainswitch/routing/chainmemory.h"
+#include "plantainswitch/routing/prefixindex.h"
 #include "plantainswitch/routing/prompt.h"
-#include "plantainswitch/routing/servicefigures.h"
+#include "plantainswitch/routing/serviceperformance.h"
 #include "plantainswitch/routing/upstreamstate.h"
 
 namespace plantainswitch {
--- a/include/plantainswitch/routing/serviceestimator.h
+++ b/include/plantainswitch/routing/serviceestimator.h
@@ -5,7 +5,7 @@
 
 #include "plantainswitch/base/clock.h"
 #include "plantainswitch/routing/leastsquares.h"
-#include "plantainswitch/routing/servicefigures.h"
+#include "plantainswitch/routing/serviceperformance.h"
 
 namespace plantainswitch {
 
--- a/lab/platformstandin.h
+++ b/lab/platformstandin.h
@@ -3,7 +3,7 @@
 #include <memory>
 
 #include "httpserver.h"
-#include "platform.h"
+#include "platformclient.h"
 
 namespace plantainswitch::lab {
 
--- a/lab/promptload.h
+++ b/lab/promptload.h
@@ -2,7 +2,7 @@
 
 #include <cstdint>
 
-#include "plantainswitch/routing/choice.h"
+#include "plantainswitch/routing/selection.h"
 
 namespace plantainswitch::lab {
 
--- a/lab/scalemeasures.cpp
+++ b/lab/scalemeasures.cpp
@@ -5,7 +5,7 @@
 #include <malloc.h>
 
 #include "peercodec.h"
-#include "platform.h"
+#include "platformclient.h"
 #include "scaleobjects.h"
 
 namespace plantainswitch::lab {
--- a/net/platform.cpp
+++ b/net/platformclient.cpp
@@ -1,4 +1,4 @@
-#include "platform.h"
+#include "platformclient.h"
 
 #include <limits>
 
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -5,7 +5,7 @@
 
 #include "plantainswitch/membership/watchers.h"
 
-#include "swimnews.h"
+#include "swimgossip.h"
 #include "swimprobes.h"
 
 namespace plantainswitch {
--- a/src/membership/swimnews.cpp
+++ b/src/membership/swimgossip.cpp
@@ -1,4 +1,4 @@
-#include "swimnews.h"
+#include "swimgossip.h"
 
 #include <algorithm>
 #include <bit>
--- a/src/membership/swimprobes.cpp
+++ b/src/membership/swimprobes.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "swimnews.h"
+#include "swimgossip.h"
 
 namespace plantainswitch::swim {
 
--- a/src/observe/pausewatch.cpp
+++ b/src/observe/pausedetector.cpp
@@ -1,4 +1,4 @@
-#include "plantainswitch/observe/pausewatch.h"
+#include "plantainswitch/observe/pausedetector.h"
 
 #include <algorithm>
 
--- a/src/observe/story.cpp
+++ b/src/observe/timeline.cpp
@@ -1,4 +1,4 @@
-#include "plantainswitch/observe/story.h"
+#include "plantainswitch/observe/timeline.h"
 
 #include <algorithm>
 #include <array>
--- a/src/placement/chatmemory.cpp
+++ b/src/placement/chataffinity.cpp
@@ -1,4 +1,4 @@
-#include "plantainswitch/placement/chatmemory.h"
+#include "plantainswitch/placement/chataffinity.h"
 
 #include <algorithm>
 
--- a/src/placement/chathints.cpp
+++ b/src/placement/chathints.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "plantainswitch/placement/keeper.h"
+#include "plantainswitch/placement/coordinator.h"
 #include "plantainswitch/placement/plan.h"
 
 namespace plantainswitch {
--- a/src/placement/keeper.cpp
+++ b/src/placement/coordinator.cpp
@@ -1,4 +1,4 @@
-#include "plantainswitch/placement/keeper.h"
+#include "plantainswitch/placement/coordinator.h"
 
 #include <algorithm>
 #include <array>
--- a/src/routing/crashsuspects.cpp
+++ b/src/routing/crashquarantine.cpp
@@ -1,4 +1,4 @@
-#include "plantainswitch/routing/crashsuspects.h"
+#include "plantainswitch/routing/crashquarantine.h"
 
 #include <algorithm>
 
--- a/src/routing/enginekeeper.cpp
+++ b/src/routing/enginecoordinator.cpp
@@ -1,4 +1,4 @@
-#include "plantainswitch/routing/enginekeeper.h"
+#include "plantainswitch/routing/enginecoordinator.h"
 
 #include <algorithm>
 
--- a/src/routing/fleetretries.cpp
+++ b/src/routing/fleetretrybudget.cpp
@@ -1,4 +1,4 @@
-#include "plantainswitch/routing/fleetretries.h"
+#include "plantainswitch/routing/fleetretrybudget.h"
 
 #include <algorithm>
 
--- a/src/routing/chainorder.cpp
+++ b/src/routing/preferencelist.cpp
@@ -1,4 +1,4 @@
-#include "plantainswitch/routing/chainorder.h"
+#include "plantainswitch/routing/preferencelist.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/routing/chainmemory.cpp
+++ b/src/routing/prefixindex.cpp
@@ -1,4 +1,4 @@
-#include "plantainswitch/routing/chainmemory.h"
+#include "plantainswitch/routing/prefixindex.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/routing/choice.cpp
+++ b/src/routing/selection.cpp
@@ -1,11 +1,11 @@
-#include "plantainswitch/routing/choice.h"
+#include "plantainswitch/routing/selection.h"
 
 #include <algorithm>
 #include <limits>
 #include <utility>
 
 #include "plantainswitch/base/hash.h"
-#include "plantainswitch/routing/chainorder.h"
+#include "plantainswitch/routing/preferencelist.h"
 
 namespace plantainswitch {
 
--- a/tests/crashsuspects.cpp
+++ b/tests/crashquarantine.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "plantainswitch/routing/crashsuspects.h"
+#include "plantainswitch/routing/crashquarantine.h"
 
 using namespace plantainswitch;
 
--- a/tests/enginekeeper.cpp
+++ b/tests/enginecoordinator.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "plantainswitch/routing/enginekeeper.h"
+#include "plantainswitch/routing/enginecoordinator.h"
 
 using namespace plantainswitch;
 
--- a/tests/fleetretries.cpp
+++ b/tests/fleetretrybudget.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "plantainswitch/routing/fleetretries.h"
+#include "plantainswitch/routing/fleetretrybudget.h"
 
 using namespace plantainswitch;
 
--- a/tests/fuzz.cpp
+++ b/tests/fuzz.cpp
@@ -4,7 +4,7 @@
 
 #include "peer.pb.h"
 #include "peercodec.h"
-#include "platform.h"
+#include "platformclient.h"
 
 #include "../src/claims/entrycodec.h"
 
--- a/tests/fuzzdocuments.cpp
+++ b/tests/fuzzdocuments.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
-#include "parse.h"
-#include "platform.h"
+#include "callerrequest.h"
+#include "platformclient.h"
 #include "refusal.h"
 #include "settings.h"
 
--- a/tests/pages.cpp
+++ b/tests/pages.cpp
@@ -7,7 +7,7 @@
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
-#include "parse.h"
+#include "callerrequest.h"
 #include "refusal.h"
 #include "settings.h"
 
--- a/tests/pausewatch.cpp
+++ b/tests/pausewatch.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "plantainswitch/observe/pausewatch.h"
+#include "plantainswitch/observe/pausedetector.h"
 
 using namespace plantainswitch;
 
--- a/tests/plainclient.cpp
+++ b/tests/plainclient.cpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "gatewayfixture.h"
-#include "plainclient.h"
+#include "sequentialhttpclient.h"
 
 using namespace plantainswitch;
 using namespace plantainswitch::gateway;
--- a/tests/reachability.cpp
+++ b/tests/reachability.cpp
@@ -3,8 +3,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "plantainswitch/routing/choice.h"
 #include "plantainswitch/routing/reachability.h"
+#include "plantainswitch/routing/selection.h"
 
 using namespace plantainswitch;
 
--- a/tests/serviceestimator.cpp
+++ b/tests/serviceestimator.cpp
@@ -3,7 +3,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "plantainswitch/routing/choice.h"
+#include "plantainswitch/routing/selection.h"
 #include "plantainswitch/routing/serviceestimator.h"
 
 using namespace plantainswitch;
--- a/tests/story.cpp
+++ b/tests/story.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "plantainswitch/observe/event.h"
-#include "plantainswitch/observe/story.h"
+#include "plantainswitch/observe/timeline.h"
 
 using namespace plantainswitch;
 
--- a/tests/upstreamchoice.cpp
+++ b/tests/upstreamselection.cpp
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 
 #include "plantainswitch/base/hash.h"
-#include "plantainswitch/routing/choice.h"
+#include "plantainswitch/routing/selection.h"
 
 using namespace plantainswitch;
 
--- a/tests/vmlistreader.cpp
+++ b/tests/vmlistreader.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "platform.h"
+#include "platformclient.h"
 
 using namespace plantainswitch;
 using namespace plantainswitch::net;
