--- a/ctl/blockingplatformclient.h
+++ b/ctl/blockingplatformclient.h
@@ -13,18 +13,18 @@
 namespace plantainswitch::ctl {
 
 /// Calls the platform and waits for the answer.
-class PlatformCalls
+class BlockingPlatformClient
 {
 public:
-    explicit PlatformCalls(const std::string &url);
-    ~PlatformCalls();
-    PlatformCalls(const PlatformCalls &) = delete;
-    PlatformCalls &operator=(const PlatformCalls &) = delete;
-
-    net::PlatformAnswer get(const EntryKey &key);
-    net::PlatformAnswer put(const EntryKey &key, std::uint64_t ifVersion,
-                            const nlohmann::json &body);
-    net::PlatformAnswer remove(const EntryKey &key, std::uint64_t ifVersion);
+    explicit BlockingPlatformClient(const std::string &url);
+    ~BlockingPlatformClient();
+    BlockingPlatformClient(const BlockingPlatformClient &) = delete;
+    BlockingPlatformClient &operator=(const BlockingPlatformClient &) = delete;
+
+    net::PlatformResponse get(const EntryKey &key);
+    net::PlatformResponse put(const EntryKey &key, std::uint64_t ifVersion,
+                              const nlohmann::json &body);
+    net::PlatformResponse remove(const EntryKey &key, std::uint64_t ifVersion);
     /// \returns all objects of \a kinds, or nothing when the platform can't be reached.
     std::optional<net::PlatformChanges> list(const std::string &kinds);
 
--- a/ctl/commands.cpp
+++ b/ctl/commands.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using net::PlatformAnswer;
+using net::PlatformResponse;
 using net::PlatformStatus;
 using nlohmann::ordered_json;
 
@@ -36,7 +36,7 @@
 nlohmann::json withoutToken(nlohmann::json body)
 {
     if (body.is_object() && body.contains("token")) {
-        body["token"] = hiddenToken;
+        body["token"] = tokenPlaceholder;
     }
     return body;
 }
@@ -49,7 +49,8 @@
         ordered_json line{{"op", change["op"]}, {"path", path}};
         if (change.contains("value")) {
             const bool secret = path.find("token") != std::string::npos;
-            line["value"] = secret ? nlohmann::json(hiddenToken) : withoutToken(change["value"]);
+            line["value"] =
+                secret ? nlohmann::json(tokenPlaceholder) : withoutToken(change["value"]);
         }
         result.push_back(std::move(line));
     }
@@ -57,9 +58,9 @@
 }
 
 /// Prints what came of a command: as JSON, or the sentence and the difference as text.
-void printResult(Output output, const ordered_json &result)
+void printResult(OutputFormat output, const ordered_json &result)
 {
-    if (output == Output::Json) {
+    if (output == OutputFormat::Json) {
         std::cout << result.dump(2) << "\n";
         return;
     }
@@ -73,7 +74,7 @@
     }
 }
 
-int reportConflict(const PlatformAnswer &answer, const nlohmann::json &wanted, Output output)
+int reportConflict(const PlatformResponse &answer, const nlohmann::json &wanted, OutputFormat output)
 {
     if (!answer.object) {
         printResult(output, {{"result", "not written: there is no such entry any more"}});
@@ -88,7 +89,7 @@
     return exitConflict;
 }
 
-int reportWrite(const PlatformAnswer &answer, const nlohmann::json &wanted, Output output)
+int reportWrite(const PlatformResponse &answer, const nlohmann::json &wanted, OutputFormat output)
 {
     switch (answer.status) {
     case PlatformStatus::Ok:
@@ -107,17 +108,17 @@
         break;
     }
     printResult(output, {{"result", "no answer: the write may have taken effect; look with get"}});
-    return exitUnknown;
+    return exitOutcomeUnknown;
 }
 
-std::optional<KnownEntries> readKnown(PlatformCalls &platform)
+std::optional<StoredEntries> readKnown(BlockingPlatformClient &platform)
 {
     const auto changes = platform.list(entryKinds);
     if (!changes) {
         std::cerr << "the platform can't be reached\n";
         return std::nullopt;
     }
-    KnownEntries known;
+    StoredEntries known;
     for (const net::PlatformObject &object : changes->objects) {
         const auto kind = entryKindOf(object.kind);
         std::vector<Fault> faults;
@@ -136,19 +137,20 @@
 /// from the version that the file was made from only, so that a token changed meanwhile is never
 /// turned back: the write is conditional on the same version.
 /// \returns the exit code that ends the command, or nothing.
-std::optional<int> restoreToken(PlatformCalls &platform, EntryFile &file, Output output)
+std::optional<int> restoreToken(BlockingPlatformClient &platform, EntryFile &file,
+                                OutputFormat output)
 {
-    if (!hidesToken(file)) {
+    if (!hasTokenPlaceholder(file)) {
         return std::nullopt;
     }
-    const PlatformAnswer stored = platform.get(file.key);
+    const PlatformResponse stored = platform.get(file.key);
     if (stored.status != PlatformStatus::Ok && stored.status != PlatformStatus::NotFound) {
         std::cerr << "the platform can't be reached\n";
         return exitFailed;
     }
     const nlohmann::json body = stored.object ? stored.object->body : nlohmann::json();
-    if (!body.is_object() || !body.contains("token") || body["token"] == hiddenToken) {
-        std::cerr << "/body/token: \"" << hiddenToken
+    if (!body.is_object() || !body.contains("token") || body["token"] == tokenPlaceholder) {
+        std::cerr << "/body/token: \"" << tokenPlaceholder
                   << "\" stands for a stored token and there is none; write the token itself\n";
         return exitBadInput;
     }
@@ -166,7 +168,7 @@
 
 } // namespace
 
-int listEntries(PlatformCalls &platform, Output output)
+int listEntries(BlockingPlatformClient &platform, OutputFormat output)
 {
     const auto changes = platform.list(entryKinds);
     if (!changes) {
@@ -182,20 +184,21 @@
                        {"name", object.name},
                        {"version", object.version},
                        {"body", withoutToken(object.body)}});
-        if (output == Output::Table) {
+        if (output == OutputFormat::Table) {
             std::cout << fmt::format("{:<10} {:<32} {:>10}  {}\n", object.kind, object.name,
                                      object.version, object.body.value("owner", ""));
         }
     }
-    if (output == Output::Json) {
+    if (output == OutputFormat::Json) {
         std::cout << all.dump(2) << "\n";
     }
     return exitOk;
 }
 
-int getEntry(PlatformCalls &platform, const EntryKey &key, Output output, Tokens tokens)
+int getEntry(BlockingPlatformClient &platform, const EntryKey &key, OutputFormat output,
+             TokenVisibility tokens)
 {
-    const PlatformAnswer answer = platform.get(key);
+    const PlatformResponse answer = platform.get(key);
     if (answer.status == PlatformStatus::NotFound) {
         std::cerr << "there is no such entry\n";
         return exitNotFound;
@@ -206,14 +209,14 @@
     }
     // In both forms the text is one that apply takes back, a hidden token included.
     auto object = toJson(*answer.object);
-    if (tokens == Tokens::Hidden) {
+    if (tokens == TokenVisibility::Hidden) {
         object["body"] = withoutToken(object["body"]);
     }
-    std::cout << (output == Output::Json ? object.dump() : object.dump(2)) << "\n";
+    std::cout << (output == OutputFormat::Json ? object.dump() : object.dump(2)) << "\n";
     return exitOk;
 }
 
-int applyFile(PlatformCalls &platform, const std::string &path, Output output)
+int applyFile(BlockingPlatformClient &platform, const std::string &path, OutputFormat output)
 {
     auto file = loadEntryFile(path);
     if (!file) {
@@ -238,19 +241,19 @@
     return reportWrite(platform.put(file->key, file->version, file->body), file->body, output);
 }
 
-int diffFile(PlatformCalls &platform, const std::string &path, Output output)
+int diffFile(BlockingPlatformClient &platform, const std::string &path, OutputFormat output)
 {
     auto file = loadEntryFile(path);
     if (!file) {
         return exitBadInput;
     }
-    const PlatformAnswer answer = platform.get(file->key);
+    const PlatformResponse answer = platform.get(file->key);
     if (answer.status != PlatformStatus::Ok && answer.status != PlatformStatus::NotFound) {
         std::cerr << "the platform can't be reached\n";
         return exitFailed;
     }
     const nlohmann::json there = answer.object ? answer.object->body : nlohmann::json();
-    if (hidesToken(*file) && there.is_object() && there.contains("token")) {
+    if (hasTokenPlaceholder(*file) && there.is_object() && there.contains("token")) {
         file->body["token"] = there["token"];
     }
     printResult(output, {{"result", "apply would change:"},
@@ -258,14 +261,14 @@
     return exitOk;
 }
 
-int deleteEntry(PlatformCalls &platform, const EntryKey &key, std::uint64_t ifVersion,
-                Output output)
+int deleteEntry(BlockingPlatformClient &platform, const EntryKey &key, std::uint64_t ifVersion,
+                OutputFormat output)
 {
     const auto known = readKnown(platform);
     if (!known) {
         return exitFailed;
     }
-    const std::vector<EntryKey> users = usersOf(key, *known);
+    const std::vector<EntryKey> users = entriesReferringTo(key, *known);
     for (const EntryKey &user : users) {
         std::cerr << toText(key) << " is in use by " << toText(user) << "\n";
     }
@@ -275,7 +278,7 @@
     return reportWrite(platform.remove(key, ifVersion), {}, output);
 }
 
-int showStatus(PlatformCalls &platform, Output output)
+int showStatus(BlockingPlatformClient &platform, OutputFormat output)
 {
     const auto entries = platform.list(entryKinds);
     const auto reports = platform.list("status");
@@ -293,7 +296,7 @@
             places.push_back(ordered_json(object.body));
         }
     }
-    if (output == Output::Json) {
+    if (output == OutputFormat::Json) {
         std::cout << ordered_json{{"newestVersion", newest}, {"places", places}}.dump(2) << "\n";
         return exitOk;
     }
--- a/ctl/entryfile.cpp
+++ b/ctl/entryfile.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void checkClass(const std::string &name, const KnownEntries &known, std::vector<Fault> &faults)
+void checkClass(const std::string &name, const StoredEntries &known, std::vector<Fault> &faults)
 {
     if (!known.contains({EntryKind::DataClass, name})) {
         faults.push_back({"/dataClass", "\"" + name + "\"", "a data class that exists"});
@@ -75,12 +75,13 @@
     return file;
 }
 
-bool hidesToken(const EntryFile &file)
+bool hasTokenPlaceholder(const EntryFile &file)
 {
-    return file.key.kind == EntryKind::Workspace && file.body.value("token", "") == hiddenToken;
+    return file.key.kind == EntryKind::Workspace
+           && file.body.value("token", "") == tokenPlaceholder;
 }
 
-std::vector<Fault> checkReferences(const EntryBody &body, const KnownEntries &known)
+std::vector<Fault> checkReferences(const EntryBody &body, const StoredEntries &known)
 {
     std::vector<Fault> faults;
     if (const auto *service = std::get_if<Service>(&body)) {
@@ -96,7 +97,7 @@
     return faults;
 }
 
-std::vector<EntryKey> usersOf(const EntryKey &key, const KnownEntries &known)
+std::vector<EntryKey> entriesReferringTo(const EntryKey &key, const StoredEntries &known)
 {
     std::vector<EntryKey> users;
     for (const auto &[other, body] : known) {
--- a/ctl/entryfile.h
+++ b/ctl/entryfile.h
@@ -13,7 +13,7 @@
 namespace plantainswitch::ctl {
 
 /// Stands in the place of a workspace's token where that is not shown.
-inline constexpr std::string_view hiddenToken = "(hidden)";
+inline constexpr std::string_view tokenPlaceholder = "(hidden)";
 
 /// An entry file once it is checked.
 struct EntryFile
@@ -29,16 +29,17 @@
                                                       std::vector<Fault> &faults);
 
 /// \returns whether the file holds the hidden mark in the place of a token.
-[[nodiscard]] bool hidesToken(const EntryFile &file);
+[[nodiscard]] bool hasTokenPlaceholder(const EntryFile &file);
 
 /// All entries that exist at the platform, by key; bodies that can't be read are left out.
-using KnownEntries = std::map<EntryKey, EntryBody>;
+using StoredEntries = std::map<EntryKey, EntryBody>;
 
 /// \returns the faults of what \a body refers to: a data class or a service that does not exist
 /// would refuse every request of a workspace, seen only by its callers.
-[[nodiscard]] std::vector<Fault> checkReferences(const EntryBody &body, const KnownEntries &known);
+[[nodiscard]] std::vector<Fault> checkReferences(const EntryBody &body, const StoredEntries &known);
 
 /// \returns the entries that refer to \a key, which is to be deleted.
-[[nodiscard]] std::vector<EntryKey> usersOf(const EntryKey &key, const KnownEntries &known);
+[[nodiscard]] std::vector<EntryKey> entriesReferringTo(const EntryKey &key,
+                                                       const StoredEntries &known);
 
 } // namespace plantainswitch::ctl
--- a/ctl/explain.cpp
+++ b/ctl/explain.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-void readLog(std::istream &log, StoryCollector &collector)
+void readLog(std::istream &log, TimelineCollector &collector)
 {
     std::string line;
     while (std::getline(log, line)) {
         if (auto read = readLogLine(line)) {
-            collector.take(std::move(*read));
+            collector.add(std::move(*read));
         }
     }
 }
@@ -23,7 +23,7 @@
 
 int explainRequest(const std::string &request, const std::vector<std::string> &logs)
 {
-    StoryCollector collector(request);
+    TimelineCollector collector(request);
     if (logs.empty()) {
         readLog(std::cin, collector);
     }
@@ -35,8 +35,8 @@
         }
         readLog(log, collector);
     }
-    const RequestStory story = collector.story();
-    std::cout << tell(story);
+    const RequestTimeline story = collector.timeline();
+    std::cout << formatTimeline(story);
     return story.steps.empty() ? exitNotFound : exitOk;
 }
 
--- a/ctl/main.cpp
+++ b/ctl/main.cpp
@@ -28,8 +28,8 @@
 )";
 
 /// Runs a command that names an entry.
-int runOnEntry(PlatformCalls &platform, const std::vector<std::string> &words,
-               const options::variables_map &given, Output output)
+int runOnEntry(BlockingPlatformClient &platform, const std::vector<std::string> &words,
+               const options::variables_map &given, OutputFormat output)
 {
     constexpr std::size_t wordsWithKey = 3;
     const auto kind = words.size() == wordsWithKey ? entryKindOf(words[1]) : std::nullopt;
@@ -40,7 +40,8 @@
     const EntryKey key{*kind, words[2]};
     if (words.front() == "get") {
         const bool shown = given.count("show-token") > 0;
-        return getEntry(platform, key, output, shown ? Tokens::Shown : Tokens::Hidden);
+        return getEntry(platform, key, output,
+                        shown ? TokenVisibility::Shown : TokenVisibility::Hidden);
     }
     if (given.count("if-version") == 0) {
         std::cerr << "delete needs --if-version N, the version that you looked at\n";
@@ -58,7 +59,7 @@
         std::cerr << "--output is json or table\n";
         return exitBadInput;
     }
-    const Output output = form == "json" ? Output::Json : Output::Table;
+    const OutputFormat output = form == "json" ? OutputFormat::Json : OutputFormat::Table;
     if (command == "explain") {
         if (words.size() < 2) {
             std::cerr << "explain needs the request's id\n";
@@ -66,7 +67,7 @@
         }
         return explainRequest(words[1], {words.begin() + 2, words.end()});
     }
-    PlatformCalls platform(given["platform"].as<std::string>());
+    BlockingPlatformClient platform(given["platform"].as<std::string>());
     if (command == "list") {
         return listEntries(platform, output);
     }
--- a/daemon/callerrequest.cpp
+++ b/daemon/callerrequest.cpp
@@ -53,7 +53,7 @@
     request.service = path.substr(0, slash);
     request.path = slash == std::string_view::npos ? "/" : path.substr(slash);
     request.path += http.rawQuery;
-    request.model = false;
+    request.isModelCall = false;
     if (request.service.empty()) {
         reason = bad("the path names no service");
         return false;
@@ -72,9 +72,10 @@
         return false;
     }
     for (const char c : text) {
-        request.keyIssued = request.keyIssued * base + static_cast<std::uint64_t>(c - '0');
+        request.keyIssuedMilliseconds =
+            request.keyIssuedMilliseconds * base + static_cast<std::uint64_t>(c - '0');
     }
-    request.keyIssued *= millisecondsOfSecond;
+    request.keyIssuedMilliseconds *= millisecondsOfSecond;
     return true;
 }
 
@@ -86,8 +87,8 @@
         return false;
     }
     request.nonIdempotent = mark == "true";
-    request.idempotencyKey = http.header(keyHeader);
-    request.chat = http.header(chatHeader);
+    request.idempotencyKey = http.header(idempotencyKeyHeader);
+    request.chatId = http.header(chatHeader);
     if (request.nonIdempotent && request.idempotencyKey.empty()) {
         reason = bad("a non-idempotent request needs an idempotency-key");
         return false;
@@ -96,7 +97,8 @@
         reason = bad("x-key-issued must be whole seconds since 1970");
         return false;
     }
-    if (request.idempotencyKey.size() > longestName || request.chat.size() > longestName) {
+    if (request.idempotencyKey.size() > maxChatIdOrKeyBytes
+        || request.chatId.size() > maxChatIdOrKeyBytes) {
         reason = bad("a chat id or idempotency-key is longer than 200 bytes");
         return false;
     }
@@ -105,11 +107,11 @@
 
 } // namespace
 
-std::optional<CallerRequest> parseRequest(net::HttpRequest http, std::size_t largestBody,
-                                          Reason &reason)
+std::optional<CallerRequest> parseCallerRequest(net::HttpRequest http, std::size_t largestBody,
+                                                Reason &reason)
 {
-    if (!http.excess.empty()) {
-        reason = {ErrorKind::TooLarge, http.excess, std::nullopt};
+    if (!http.oversizedPart.empty()) {
+        reason = {ErrorKind::TooLarge, http.oversizedPart, std::nullopt};
         return std::nullopt;
     }
     CallerRequest request;
--- a/daemon/claimservice.cpp
+++ b/daemon/claimservice.cpp
@@ -22,9 +22,9 @@
     return std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
 }
 
-StoreAnswer answerOf(const net::PlatformAnswer &from)
+StoreResponse answerOf(const net::PlatformResponse &from)
 {
-    StoreAnswer to;
+    StoreResponse to;
     switch (from.status) {
     case net::PlatformStatus::Ok:
         to.outcome = StoreOutcome::Ok;
@@ -51,8 +51,9 @@
 
 } // namespace
 
-ClaimService::ClaimService(asio::io_context &context, Node &node, std::shared_ptr<PeerLink> link,
-                           PeerCalls &calls, net::HttpClient &http)
+ClaimService::ClaimService(asio::io_context &context, Node &node,
+                           std::shared_ptr<PeerTransport> link, PeerCalls &calls,
+                           net::HttpClient &http)
     : node(node)
     , link(std::move(link))
     , calls(calls)
@@ -62,30 +63,31 @@
 
 void ClaimService::start()
 {
-    this->link->handle<ClaimAsk>(
+    this->link->setHandler<ClaimRequest>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &from, PeerBody body) {
-            asio::post(self->strand,
-                       [self, from, ask = std::get<ClaimAsk>(body)] { self->hearAsk(from, ask); });
+            asio::post(self->strand, [self, from, ask = std::get<ClaimRequest>(body)] {
+                self->handleRemoteRequest(from, ask);
+            });
         });
-    this->link->handle<ClaimReply>(
+    this->link->setHandler<ClaimReply>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &, PeerBody body) {
             asio::post(self->strand,
-                       [self, reply = std::get<ClaimReply>(body)] { self->hearReply(reply); });
+                       [self, reply = std::get<ClaimReply>(body)] { self->handleReply(reply); });
         });
-    this->link->handle<ClaimRelease>(
+    this->link->setHandler<ClaimRelease>(
         [self = this->shared_from_this()](std::uint64_t sender, const Endpoint &, PeerBody body) {
             const auto release = std::get<ClaimRelease>(body);
             asio::post(self->strand, [self, sender, release] {
                 Slice &slice = self->sliceFor(release.id);
                 releaseClaim(slice.log, {release.id, sender, release.nonce, 0});
-                self->pump(slice);
+                self->advance(slice);
             });
         });
 }
 
 std::uint64_t ClaimService::nextNonce() noexcept
 {
-    return mixHash(this->node.identity, this->nonces++);
+    return mixHash(this->node.identity, this->nextNonceNumber++);
 }
 
 std::vector<Heartbeat> ClaimService::writersFor(const ClaimId &id) const
@@ -94,31 +96,31 @@
     std::vector<WriterCandidate> candidates;
     candidates.reserve(members->size());
     for (const Heartbeat &member : *members) {
-        candidates.push_back({hashOf(member.id), member.place});
+        candidates.push_back({hashOf(member.id), member.dataCentre});
     }
     std::vector<Heartbeat> writers;
     for (const std::size_t index :
-         writersOf(sliceOf(id), candidates, this->node.settings.place, this->limits)) {
+         claimWritersOf(sliceOf(id), candidates, this->node.settings.dataCentre, this->limits)) {
         writers.push_back((*members)[index]);
     }
     return writers;
 }
 
-void ClaimService::claim(const ClaimAsk &ask, Done done)
+void ClaimService::claim(const ClaimRequest &ask, ClaimCallback done)
 {
     asio::post(this->strand,
                [self = this->shared_from_this(), ask, done = std::move(done)]() mutable {
-                   auto entry = std::make_shared<Ask>();
+                   auto entry = std::make_shared<PendingClaim>();
                    entry->ask = ask;
                    entry->done = std::move(done);
                    entry->timer = std::make_unique<asio::steady_timer>(self->strand);
                    entry->deadline = self->node.clock.now() + claimDeadline;
-                   self->asks[ask.claim.nonce] = entry;
-                   self->begin(entry);
+                   self->pendingClaims[ask.claim.nonce] = entry;
+                   self->sendOrWrite(entry);
                });
 }
 
-void ClaimService::begin(const std::shared_ptr<Ask> &ask)
+void ClaimService::sendOrWrite(const std::shared_ptr<PendingClaim> &ask)
 {
     const auto writers = this->writersFor(ask->ask.claim.id);
     std::vector<std::uint64_t> ids;
@@ -126,110 +128,112 @@
     for (const Heartbeat &writer : writers) {
         ids.push_back(hashOf(writer.id));
     }
-    const AskStep step = nextAskStep(ask->route, this->silent, ids, hashOf(this->node.settings.id),
-                                     this->limits, this->node.clock.now());
-    if (step.silent != 0) {
-        const auto given = std::find(ids.begin(), ids.end(), step.silent);
+    const ClaimRouteStep step =
+        nextClaimRouteStep(ask->route, this->silentWriters, ids, hashOf(this->node.settings.id),
+                           this->limits, this->node.clock.now());
+    if (step.silentWriter != 0) {
+        const auto given = std::find(ids.begin(), ids.end(), step.silentWriter);
         const bool member = given != ids.end();
         logEvent(Event::ClaimWriterSilent,
                  {{"writer", member ? writers[static_cast<std::size_t>(given - ids.begin())].id
-                                    : std::to_string(step.silent)}});
+                                    : std::to_string(step.silentWriter)}});
     }
-    if (step.action == AskAction::Refuse) {
+    if (step.action == ClaimRouteAction::Refuse) {
         const std::uint64_t nonce = ask->ask.claim.nonce;
-        this->finish(nonce, {nonce, ClaimVerdict::Unavailable, {}});
+        this->complete(nonce, {nonce, ClaimVerdict::Unavailable, {}});
         return;
     }
-    this->askAgain(ask, step.wait);
-    if (step.action == AskAction::Send) {
-        this->link->send(writers[step.writer].datagrams, ask->ask);
+    this->scheduleRetry(ask, step.wait);
+    if (step.action == ClaimRouteAction::Send) {
+        this->link->send(writers[step.writer].datagramEndpoint, ask->ask);
         return;
     }
-    this->writeHere(ask);
+    this->writeLocally(ask);
 }
 
-void ClaimService::writeHere(const std::shared_ptr<Ask> &ask)
+void ClaimService::writeLocally(const std::shared_ptr<PendingClaim> &ask)
 {
     Slice &slice = this->sliceFor(ask->ask.claim.id);
-    const ClaimVerdict verdict = this->takeAsk(slice, ask->ask);
+    const ClaimVerdict verdict = this->enqueueRequest(slice, ask->ask);
     if (verdict == ClaimVerdict::Unavailable) {
-        this->finish(ask->ask.claim.nonce, {ask->ask.claim.nonce, verdict, {}});
+        this->complete(ask->ask.claim.nonce, {ask->ask.claim.nonce, verdict, {}});
         return;
     }
-    this->pump(slice);
+    this->advance(slice);
 }
 
-void ClaimService::askAgain(const std::shared_ptr<Ask> &ask, Duration wait)
+void ClaimService::scheduleRetry(const std::shared_ptr<PendingClaim> &ask, Duration wait)
 {
     ask->timer->expires_after(wait);
     ask->timer->async_wait(asio::bind_executor(
         this->strand, [self = this->shared_from_this(), ask](const asio::error_code &error) {
             const std::uint64_t nonce = ask->ask.claim.nonce;
-            if (error || !self->asks.contains(nonce)) {
+            if (error || !self->pendingClaims.contains(nonce)) {
                 return;
             }
             if (self->node.clock.now() >= ask->deadline) {
-                self->finish(nonce, {nonce, ClaimVerdict::Unavailable, {}});
+                self->complete(nonce, {nonce, ClaimVerdict::Unavailable, {}});
                 return;
             }
-            self->begin(ask);
+            self->sendOrWrite(ask);
         }));
 }
 
-void ClaimService::hearReply(const ClaimReply &reply)
+void ClaimService::handleReply(const ClaimReply &reply)
 {
-    const auto found = this->asks.find(reply.nonce);
-    if (found == this->asks.end()) {
+    const auto found = this->pendingClaims.find(reply.nonce);
+    if (found == this->pendingClaims.end()) {
         return;
     }
-    const std::shared_ptr<Ask> ask = found->second;
-    hearWriter(ask->route, this->silent);
+    const std::shared_ptr<PendingClaim> ask = found->second;
+    recordWriterAck(ask->route, this->silentWriters);
     if (reply.verdict == ClaimVerdict::Queued) {
-        this->askAgain(ask, this->limits.askAgainAfter);
+        this->scheduleRetry(ask, this->limits.resendInterval);
         return;
     }
     if (reply.verdict == ClaimVerdict::Unavailable) {
         // The writer may be cut off from the platform while others are not.
-        refuseWriter(ask->route);
-        this->begin(ask);
+        recordWriterRefusal(ask->route);
+        this->sendOrWrite(ask);
         return;
     }
     ClaimReply own = reply;
     own.holder.id = ask->ask.claim.id;
-    this->finish(reply.nonce, own);
+    this->complete(reply.nonce, own);
 }
 
-void ClaimService::finish(std::uint64_t nonce, const ClaimReply &reply)
+void ClaimService::complete(std::uint64_t nonce, const ClaimReply &reply)
 {
-    const auto found = this->asks.find(nonce);
-    if (found == this->asks.end()) {
+    const auto found = this->pendingClaims.find(nonce);
+    if (found == this->pendingClaims.end()) {
         return;
     }
-    const std::shared_ptr<Ask> ask = found->second;
-    this->asks.erase(found);
+    const std::shared_ptr<PendingClaim> ask = found->second;
+    this->pendingClaims.erase(found);
     ask->timer->cancel();
     ask->done(reply);
 }
 
-void ClaimService::hearAsk(const Endpoint &from, const ClaimAsk &ask)
+void ClaimService::handleRemoteRequest(const Endpoint &from, const ClaimRequest &ask)
 {
     Slice &slice = this->sliceFor(ask.claim.id);
-    const ClaimVerdict verdict = this->takeAsk(slice, ask);
+    const ClaimVerdict verdict = this->enqueueRequest(slice, ask);
     if (verdict == ClaimVerdict::Queued) {
-        slice.waiting[ask.claim.nonce] = from;
+        slice.remoteWaiters[ask.claim.nonce] = from;
     }
     this->link->send(from, ClaimReply{ask.claim.nonce, verdict, {}});
-    this->pump(slice);
+    this->advance(slice);
 }
 
-ClaimVerdict ClaimService::takeAsk(Slice &slice, const ClaimAsk &ask)
+ClaimVerdict ClaimService::enqueueRequest(Slice &slice, const ClaimRequest &ask)
 {
     const TimePoint now = this->node.clock.now();
     const ClaimLog &log = slice.log;
     // While the store fails, one ask at a time goes on as a probe; the others hear at once that
     // they can't be claimed. What isn't queued is never written.
     const bool failing = log.failingSince && now - *log.failingSince > failingLong;
-    if ((failing && (log.calling || now < log.writeAfter)) || !enqueueClaim(slice.log, ask)) {
+    if ((failing && (log.callOutstanding || now < log.nextWriteAt))
+        || !enqueueClaim(slice.log, ask)) {
         return ClaimVerdict::Unavailable;
     }
     return ClaimVerdict::Queued;
@@ -248,12 +252,12 @@
     return slice;
 }
 
-void ClaimService::pump(Slice &slice)
+void ClaimService::advance(Slice &slice)
 {
     const TimePoint now = this->node.clock.now();
-    this->deliver(slice, settleClaims(slice.log, now));
+    this->deliverReplies(slice, decideClaims(slice.log, now));
     if (const auto call = nextStoreCall(slice.log, now, wallNow())) {
-        this->runCall(slice, *call);
+        this->startStoreCall(slice, *call);
         return;
     }
     const auto wake = wakeTime(slice.log, now);
@@ -265,16 +269,17 @@
     slice.timer->async_wait(asio::bind_executor(
         this->strand, [self = this->shared_from_this(), &slice](const asio::error_code &error) {
             if (!error) {
-                self->pump(slice);
+                self->advance(slice);
             }
         }));
 }
 
-void ClaimService::runCall(Slice &slice, const StoreCall &call)
+void ClaimService::startStoreCall(Slice &slice, const StoreCall &call)
 {
     this->node.metrics.count(Counter::PlatformCalls);
-    auto done = [self = this->shared_from_this(), &slice](const net::PlatformAnswer &answer) {
-        asio::post(self->strand, [self, &slice, answer] { self->takeAnswer(slice, answer); });
+    auto done = [self = this->shared_from_this(), &slice](const net::PlatformResponse &answer) {
+        asio::post(self->strand,
+                   [self, &slice, answer] { self->onStoreResponse(slice, answer); });
     };
     if (call.write) {
         this->node.metrics.count(Counter::ClaimWrites);
@@ -285,26 +290,27 @@
     }
 }
 
-void ClaimService::takeAnswer(Slice &slice, const net::PlatformAnswer &answer)
+void ClaimService::onStoreResponse(Slice &slice, const net::PlatformResponse &answer)
 {
     const bool failing = slice.log.failingSince.has_value();
-    this->deliver(slice, takeStoreAnswer(slice.log, answerOf(answer), this->node.clock.now()));
+    this->deliverReplies(slice,
+                         handleStoreResponse(slice.log, answerOf(answer), this->node.clock.now()));
     if (failing != slice.log.failingSince.has_value()) {
         logEvent(failing ? Event::ClaimStoreBack : Event::ClaimStoreFailing,
                  {{"slice", std::to_string(slice.log.slice)}, {"detail", answer.detail}});
     }
-    this->pump(slice);
+    this->advance(slice);
 }
 
-void ClaimService::deliver(Slice &slice, const std::vector<ClaimReply> &replies)
+void ClaimService::deliverReplies(Slice &slice, const std::vector<ClaimReply> &replies)
 {
     for (const ClaimReply &reply : replies) {
-        const auto remote = slice.waiting.find(reply.nonce);
-        if (remote != slice.waiting.end()) {
+        const auto remote = slice.remoteWaiters.find(reply.nonce);
+        if (remote != slice.remoteWaiters.end()) {
             this->link->send(remote->second, reply);
-            slice.waiting.erase(remote);
+            slice.remoteWaiters.erase(remote);
         }
-        this->finish(reply.nonce, reply);
+        this->complete(reply.nonce, reply);
     }
 }
 
@@ -314,17 +320,17 @@
     asio::post(this->strand, [self = this->shared_from_this(), claim] {
         const auto writers = self->writersFor(claim.id);
         if (!writers.empty() && writers.front().id != self->node.settings.id) {
-            self->link->send(writers.front().datagrams, ClaimRelease{claim.id, claim.nonce});
+            self->link->send(writers.front().datagramEndpoint, ClaimRelease{claim.id, claim.nonce});
         }
         const auto own = self->slices.find(sliceOf(claim.id));
         if (own != self->slices.end()) {
             releaseClaim(own->second.log, claim);
-            self->pump(own->second);
+            self->advance(own->second);
         }
     });
 }
 
-void ClaimService::askOwner(const Claim &holder, OwnerDone done)
+void ClaimService::queryOwner(const Claim &holder, OwnerCallback done)
 {
     if (holder.owner == this->node.identity) {
         done(this->node.ownClaims.find(holder.nonce));
@@ -332,10 +338,10 @@
     }
     for (const Heartbeat &member : this->node.members.all()) {
         if (identityOf(member.id, member.incarnation) == holder.owner) {
-            this->calls.ownClaim(member, holder.nonce,
-                                 [done = std::move(done)](const std::optional<OwnClaim> &own) {
-                                     done(own.value_or(OwnClaim{}));
-                                 });
+            this->calls.queryOwnClaim(member, holder.nonce,
+                                      [done = std::move(done)](const std::optional<OwnClaim> &own) {
+                                          done(own.value_or(OwnClaim{}));
+                                      });
             return;
         }
     }
--- a/daemon/claimservice.h
+++ b/daemon/claimservice.h
@@ -21,67 +21,67 @@
 class ClaimService : public std::enable_shared_from_this<ClaimService>
 {
 public:
-    using Done = std::function<void(ClaimReply)>;
+    using ClaimCallback = std::function<void(ClaimReply)>;
     /// Gets what the owner of a claim says of it; Unknown when it can't be asked.
-    using OwnerDone = std::function<void(OwnClaim)>;
+    using OwnerCallback = std::function<void(OwnClaim)>;
 
-    ClaimService(asio::io_context &context, Node &node, std::shared_ptr<PeerLink> link,
+    ClaimService(asio::io_context &context, Node &node, std::shared_ptr<PeerTransport> link,
                  PeerCalls &calls, net::HttpClient &http);
 
     void start();
     /// Claims; \a done is called once, with Granted, Taken, Expired or Unavailable.
-    void claim(const ClaimAsk &ask, Done done);
+    void claim(const ClaimRequest &ask, ClaimCallback done);
     /// Gives up a claim of this router that was not dispatched and never will be.
     void release(const Claim &claim);
     /// Asks the owner of \a holder what became of it.
-    void askOwner(const Claim &holder, OwnerDone done);
+    void queryOwner(const Claim &holder, OwnerCallback done);
     /// \returns a nonce that no other claim has.
     [[nodiscard]] std::uint64_t nextNonce() noexcept;
 
     /// Lets go of the requests that wait, once no worker runs any more.
-    void forgetAsks() { this->asks.clear(); }
+    void dropPendingClaims() { this->pendingClaims.clear(); }
 
 private:
-    struct Ask
+    struct PendingClaim
     {
-        ClaimAsk ask;
-        Done done;
+        ClaimRequest ask;
+        ClaimCallback done;
         std::unique_ptr<asio::steady_timer> timer;
         TimePoint deadline;
-        AskRoute route;
+        ClaimRoute route;
     };
     struct Slice
     {
         ClaimLog log;
         std::unique_ptr<asio::steady_timer> timer;
         /// Other routers that wait for a verdict, by nonce.
-        std::map<std::uint64_t, Endpoint> waiting;
+        std::map<std::uint64_t, Endpoint> remoteWaiters;
     };
 
-    void begin(const std::shared_ptr<Ask> &ask);
-    void askAgain(const std::shared_ptr<Ask> &ask, Duration wait);
-    void hearReply(const ClaimReply &reply);
-    void finish(std::uint64_t nonce, const ClaimReply &reply);
-    void hearAsk(const Endpoint &from, const ClaimAsk &ask);
-    ClaimVerdict takeAsk(Slice &slice, const ClaimAsk &ask);
-    void writeHere(const std::shared_ptr<Ask> &ask);
+    void sendOrWrite(const std::shared_ptr<PendingClaim> &ask);
+    void scheduleRetry(const std::shared_ptr<PendingClaim> &ask, Duration wait);
+    void handleReply(const ClaimReply &reply);
+    void complete(std::uint64_t nonce, const ClaimReply &reply);
+    void handleRemoteRequest(const Endpoint &from, const ClaimRequest &ask);
+    ClaimVerdict enqueueRequest(Slice &slice, const ClaimRequest &ask);
+    void writeLocally(const std::shared_ptr<PendingClaim> &ask);
     Slice &sliceFor(const ClaimId &id);
-    void pump(Slice &slice);
-    void runCall(Slice &slice, const StoreCall &call);
-    void takeAnswer(Slice &slice, const net::PlatformAnswer &answer);
-    void deliver(Slice &slice, const std::vector<ClaimReply> &replies);
+    void advance(Slice &slice);
+    void startStoreCall(Slice &slice, const StoreCall &call);
+    void onStoreResponse(Slice &slice, const net::PlatformResponse &answer);
+    void deliverReplies(Slice &slice, const std::vector<ClaimReply> &replies);
     [[nodiscard]] std::vector<Heartbeat> writersFor(const ClaimId &id) const;
 
     Node &node;
-    std::shared_ptr<PeerLink> link;
+    std::shared_ptr<PeerTransport> link;
     PeerCalls &calls;
     net::PlatformClient platform;
     asio::strand<asio::io_context::executor_type> strand;
-    std::atomic<std::uint64_t> nonces = 1;
+    std::atomic<std::uint64_t> nextNonceNumber = 1;
     WriterLimits limits;
-    SilentWriters silent;
+    SilentWriters silentWriters;
     std::map<std::uint32_t, Slice> slices;
-    std::unordered_map<std::uint64_t, std::shared_ptr<Ask>> asks;
+    std::unordered_map<std::uint64_t, std::shared_ptr<PendingClaim>> pendingClaims;
 };
 
 } // namespace plantainswitch
--- a/daemon/coordinatorservice.cpp
+++ b/daemon/coordinatorservice.cpp
@@ -20,27 +20,29 @@
 
 } // namespace
 
-KeeperService::KeeperService(Node &node, std::shared_ptr<PeerLink> link)
+CoordinatorService::CoordinatorService(Node &node, std::shared_ptr<PeerTransport> link)
     : node(node)
     , link(std::move(link))
     , timer(this->link->executor())
 {}
 
-void KeeperService::start()
+void CoordinatorService::start()
 {
-    this->link->handle<SlotAsk>([self = this->shared_from_this()](
-                                    std::uint64_t sender, const Endpoint &from, PeerBody body) {
-        self->ask(sender, std::get<SlotAsk>(body),
+    this->link->setHandler<SlotRequest>([self = this->shared_from_this()](std::uint64_t sender,
+                                                                          const Endpoint &from,
+                                                                          PeerBody body) {
+        self->ask(sender, std::get<SlotRequest>(body),
                   [self, from](const SlotReply &reply) { self->link->send(from, reply); });
     });
-    this->link->handle<SlotRelease>(
+    this->link->setHandler<SlotRelease>(
         [self = this->shared_from_this()](std::uint64_t sender, const Endpoint &, PeerBody body) {
             self->release(sender, std::get<SlotRelease>(body));
         });
-    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->schedule(); });
+    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->tick(); });
 }
 
-void KeeperService::ask(std::uint64_t router, const SlotAsk &ask, const Answer &done)
+void CoordinatorService::ask(std::uint64_t router, const SlotRequest &ask,
+                             const ReplyCallback &done)
 {
     Replies replies;
     {
@@ -50,8 +52,8 @@
     send(replies);
 }
 
-SlotReply KeeperService::askLocked(std::uint64_t router, const SlotAsk &ask, const Answer &done,
-                                   Replies &replies)
+SlotReply CoordinatorService::askLocked(std::uint64_t router, const SlotRequest &ask,
+                                        const ReplyCallback &done, Replies &replies)
 {
     const auto found = this->queues.find(shardIdOf(ask.shard));
     if (found == this->queues.end()) {
@@ -62,8 +64,8 @@
     }
     // Those who wait come first; what is left after them is really free.
     ShardQueue &shard = found->second;
-    this->drain(shard, replies);
-    if (shard.waiters.contains({router, ask.askId})) {
+    this->grantWaiting(shard, replies);
+    if (shard.waiters.contains({router, ask.requestId})) {
         return this->enqueue(shard, router, ask, done);
     }
     const SlotReply reply = this->grant(router, ask);
@@ -73,24 +75,24 @@
     return reply;
 }
 
-SlotReply KeeperService::enqueue(ShardQueue &shard, std::uint64_t router, const SlotAsk &ask,
-                                 const Answer &done)
+SlotReply CoordinatorService::enqueue(ShardQueue &shard, std::uint64_t router,
+                                      const SlotRequest &ask, const ReplyCallback &done)
 {
     shard.shard = ask.shard;
-    const QueueOutcome outcome =
-        enqueueAsk(shard.queue, router, ask, QueueSettings{}, this->node.clock.now());
+    const EnqueueResult outcome =
+        enqueueRequest(shard.queue, router, ask, QueueSettings{}, this->node.clock.now());
     if (outcome.verdict == QueueVerdict::Refused) {
         this->node.metrics.count(Counter::QueueRefused);
-        return {ask.askId, SlotVerdict::Busy, 0, retrySeconds(outcome.expected)};
+        return {ask.requestId, SlotVerdict::Busy, 0, retrySeconds(outcome.expectedWait)};
     }
     if (outcome.verdict == QueueVerdict::Queued) {
         this->node.metrics.count(Counter::QueueEntered);
-        shard.waiters[{router, ask.askId}] = done;
+        shard.waiters[{router, ask.requestId}] = done;
     }
-    return {ask.askId, SlotVerdict::Queued, 0, 0};
+    return {ask.requestId, SlotVerdict::Queued, 0, 0};
 }
 
-SlotReply KeeperService::grant(std::uint64_t router, const SlotAsk &ask)
+SlotReply CoordinatorService::grant(std::uint64_t router, const SlotRequest &ask)
 {
     const auto view = this->node.catalogue.view();
     const Service *service = nullptr;
@@ -98,37 +100,39 @@
         service = view->services.find(ask.shard.service);
     }
     if (service == nullptr) {
-        return {ask.askId, SlotVerdict::Empty, 0};
+        return {ask.requestId, SlotVerdict::Empty, 0};
     }
     const TimePoint now = this->node.clock.now();
-    GrantView grantView;
+    GrantContext grantView;
     grantView.settings.capacity = service->engineCapacity;
-    grantView.ready = readyOf(this->node.upstreams, ask.shard, service->shards, now);
-    const auto keeper = keeperOf(ask.shard, *this->node.members.active());
+    grantView.readyEngines =
+        readyUpstreamsOf(this->node.upstreams, ask.shard, service->shards, now);
+    const auto keeper = coordinatorOf(ask.shard, *this->node.members.active());
     const bool own = keeper && keeper->id == this->node.settings.id;
-    if (this->node.suspects.blame(ask.fingerprint, now) == Blame::None) {
+    if (this->node.suspects.statusOf(ask.fingerprint, now) == SuspectStatus::None) {
         return this->node.keeper.grant(router, ask, std::move(grantView), own, now);
     }
     // Empty and not Overflow: a suspect that must wait would hold up the queue behind it.
-    const auto running = this->node.keeper.running(shardIdOf(ask.shard), {router, ask.askId});
-    if (this->node.suspects.heldBack(ask.fingerprint, running, now)) {
-        return {ask.askId, SlotVerdict::Empty, 0};
+    const auto running =
+        this->node.keeper.runningRequests(shardIdOf(ask.shard), {router, ask.requestId});
+    if (this->node.suspects.blocks(ask.fingerprint, running, now)) {
+        return {ask.requestId, SlotVerdict::Empty, 0};
     }
-    SlotAsk apart = ask;
-    const auto away = this->node.suspects.keepAway(ask.fingerprint, running, now);
+    SlotRequest apart = ask;
+    const auto away = this->node.suspects.excludedFor(ask.fingerprint, running, now);
     apart.avoid.insert(apart.avoid.end(), away.begin(), away.end());
     return this->node.keeper.grant(router, apart, std::move(grantView), own, now);
 }
 
-void KeeperService::drain(ShardQueue &shard, Replies &replies)
+void CoordinatorService::grantWaiting(ShardQueue &shard, Replies &replies)
 {
-    while (const QueuedAsk *next = nextAsk(shard.queue)) {
-        const SlotKey key{next->router, next->ask.askId};
-        const SlotReply reply = this->grant(next->router, next->ask);
+    while (const QueuedRequest *next = peekRequest(shard.queue)) {
+        const SlotKey key{next->router, next->request.requestId};
+        const SlotReply reply = this->grant(next->router, next->request);
         if (reply.verdict == SlotVerdict::Overflow) {
             return;
         }
-        popAsk(shard.queue, reply.verdict == SlotVerdict::Granted, this->node.clock.now());
+        popRequest(shard.queue, reply.verdict == SlotVerdict::Granted, this->node.clock.now());
         const auto waiter = shard.waiters.extract(key);
         if (waiter) {
             replies.emplace_back(waiter.mapped(), reply);
@@ -136,19 +140,19 @@
     }
 }
 
-void KeeperService::expire(ShardQueue &shard, Replies &replies)
+void CoordinatorService::expireWaiting(ShardQueue &shard, Replies &replies)
 {
-    for (const QueuedAsk &expired : expireAsks(shard.queue, this->node.clock.now())) {
+    for (const QueuedRequest &expired : expireRequests(shard.queue, this->node.clock.now())) {
         this->node.metrics.count(Counter::QueueExpired);
-        const auto waiter = shard.waiters.extract({expired.router, expired.ask.askId});
+        const auto waiter = shard.waiters.extract({expired.router, expired.request.requestId});
         if (waiter) {
             replies.emplace_back(waiter.mapped(),
-                                 SlotReply{expired.ask.askId, SlotVerdict::Expired, 0, 0});
+                                 SlotReply{expired.request.requestId, SlotVerdict::Expired, 0, 0});
         }
     }
 }
 
-void KeeperService::release(std::uint64_t router, const SlotRelease &release)
+void CoordinatorService::release(std::uint64_t router, const SlotRelease &release)
 {
     Replies replies;
     {
@@ -157,26 +161,26 @@
         const auto found = this->queues.find(release.shard);
         if (found != this->queues.end()) {
             ShardQueue &shard = found->second;
-            for (const std::uint32_t askId : release.askIds) {
+            for (const std::uint32_t askId : release.requestIds) {
                 if (shard.waiters.erase({router, askId}) > 0) {
-                    cancelAsk(shard.queue, {router, askId});
+                    cancelRequest(shard.queue, {router, askId});
                 }
             }
-            this->drain(shard, replies);
+            this->grantWaiting(shard, replies);
         }
     }
     send(replies);
 }
 
-void KeeperService::schedule()
+void CoordinatorService::tick()
 {
     Replies replies;
     {
         const RankedLock lock(this->mutex);
         for (auto &[id, shard] : this->queues) {
-            this->expire(shard, replies);
+            this->expireWaiting(shard, replies);
             // Engines that joined and routers that left make room without a release.
-            this->drain(shard, replies);
+            this->grantWaiting(shard, replies);
         }
         // Kept only while somebody waits; its measured interval would be stale anyway.
         std::erase_if(this->queues, [](const auto &item) { return item.second.queue.length == 0; });
@@ -185,12 +189,12 @@
     this->timer.expires_after(expiryPeriod);
     this->timer.async_wait([self = this->shared_from_this()](const asio::error_code &error) {
         if (!error) {
-            self->schedule();
+            self->tick();
         }
     });
 }
 
-void KeeperService::send(const Replies &replies)
+void CoordinatorService::send(const Replies &replies)
 {
     for (const auto &[answer, reply] : replies) {
         answer(reply);
--- a/daemon/heldslots.cpp
+++ b/daemon/heldslots.cpp
@@ -16,18 +16,18 @@
 void HeldSlots::start(LowestPending pending)
 {
     this->lowestPending = std::move(pending);
-    this->link->handle<SlotListAsk>(
+    this->link->setHandler<SlotListRequest>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &from, PeerBody body) {
-            self->sendList(from, std::get<SlotListAsk>(body).shard);
+            self->sendList(from, std::get<SlotListRequest>(body).shard);
         });
-    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->schedule(); });
+    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->tick(); });
 }
 
-void HeldSlots::hold(const Shard &shard, std::uint32_t askId, UpstreamId upstream)
+void HeldSlots::add(const Shard &shard, std::uint32_t askId, UpstreamId upstream)
 {
     asio::dispatch(this->link->executor(),
                    [self = this->shared_from_this(), shard, askId, upstream] {
-                       HeldShard &entry = self->held[shardIdOf(shard)];
+                       HeldShard &entry = self->shards[shardIdOf(shard)];
                        entry.shard = shard;
                        entry.slots[askId] = upstream;
                        entry.lastUsed = self->node.clock.now();
@@ -36,19 +36,19 @@
 
 void HeldSlots::erase(const Shard &shard, std::uint32_t askId)
 {
-    HeldShard &entry = this->held[shardIdOf(shard)];
+    HeldShard &entry = this->shards[shardIdOf(shard)];
     entry.shard = shard;
     entry.slots.erase(askId);
     entry.lastUsed = this->node.clock.now();
 }
 
-void HeldSlots::schedule()
+void HeldSlots::tick()
 {
     this->sendDigests();
     this->timer.expires_after(digestPeriod);
     this->timer.async_wait([self = this->shared_from_this()](const asio::error_code &error) {
         if (!error) {
-            self->schedule();
+            self->tick();
         }
     });
 }
@@ -56,18 +56,19 @@
 void HeldSlots::sendDigests()
 {
     const TimePoint now = this->node.clock.now();
-    std::erase_if(this->held, [now](const auto &each) {
+    std::erase_if(this->shards, [now](const auto &each) {
         return each.second.slots.empty() && now - each.second.lastUsed > reportedAfterUse;
     });
     const MemberSnapshot active = this->node.members.active();
-    for (const auto &[id, entry] : this->held) {
-        const auto keeper = keeperOf(entry.shard, *active);
+    for (const auto &[id, entry] : this->shards) {
+        const auto keeper = coordinatorOf(entry.shard, *active);
         if (keeper && keeper->id != this->node.settings.id) {
-            this->link->send(keeper->datagrams, digestOf(id, entry.slots, this->lowestPending(id)));
+            this->link->send(keeper->datagramEndpoint,
+                             digestOf(id, entry.slots, this->lowestPending(id)));
         } else if (keeper) {
-            for (SlotList &list :
-                 listsOf(entry.shard, this->node.identity, entry.slots, this->lowestPending(id))) {
-                this->node.keeper.takeList(0, list, now);
+            for (SlotList &list : splitIntoLists(entry.shard, this->node.identity, entry.slots,
+                                                 this->lowestPending(id))) {
+                this->node.keeper.receiveList(0, list, now);
             }
         }
     }
@@ -75,12 +76,12 @@
 
 void HeldSlots::sendList(const Endpoint &to, ShardId shard)
 {
-    const auto found = this->held.find(shard);
-    if (found == this->held.end()) {
+    const auto found = this->shards.find(shard);
+    if (found == this->shards.end()) {
         return;
     }
-    for (const SlotList &list : listsOf(found->second.shard, this->node.identity,
-                                        found->second.slots, this->lowestPending(shard))) {
+    for (const SlotList &list : splitIntoLists(found->second.shard, this->node.identity,
+                                               found->second.slots, this->lowestPending(shard))) {
         this->link->send(to, list);
     }
 }
--- a/daemon/heldslots.h
+++ b/daemon/heldslots.h
@@ -19,7 +19,7 @@
     /// \returns the lowest ask id of the shard that is under way; from there on nothing counts.
     using LowestPending = std::function<std::uint32_t(ShardId)>;
 
-    HeldSlots(Node &node, std::shared_ptr<PeerLink> link)
+    HeldSlots(Node &node, std::shared_ptr<PeerTransport> link)
         : node(node)
         , link(std::move(link))
         , timer(this->link->executor())
@@ -27,7 +27,7 @@
 
     void start(LowestPending lowestPending);
     /// Notes a granted slot; safe from any thread.
-    void hold(const Shard &shard, std::uint32_t askId, UpstreamId upstream);
+    void add(const Shard &shard, std::uint32_t askId, UpstreamId upstream);
     /// Forgets a slot that ended; on the strand only.
     void erase(const Shard &shard, std::uint32_t askId);
 
@@ -39,15 +39,15 @@
         TimePoint lastUsed;
     };
 
-    void schedule();
+    void tick();
     void sendDigests();
     void sendList(const Endpoint &to, ShardId shard);
 
     Node &node;
-    std::shared_ptr<PeerLink> link;
+    std::shared_ptr<PeerTransport> link;
     asio::steady_timer timer;
     LowestPending lowestPending;
-    std::map<ShardId, HeldShard> held;
+    std::map<ShardId, HeldShard> shards;
 };
 
 } // namespace plantainswitch
--- a/daemon/leavinggossip.cpp
+++ b/daemon/leavinggossip.cpp
@@ -16,42 +16,42 @@
 
 } // namespace
 
-Notices::Notices(Node &node, std::shared_ptr<PeerLink> link)
+LeavingGossip::LeavingGossip(Node &node, std::shared_ptr<PeerTransport> link)
     : node(node)
     , link(std::move(link))
     , timer(this->link->executor())
     , random(node.identity)
 {}
 
-void Notices::start()
+void LeavingGossip::start()
 {
-    this->link->handle<LeavingNotice>(
+    this->link->setHandler<LeavingNotice>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &, PeerBody body) {
             for (const std::string &vm : std::get<LeavingNotice>(body).vms) {
-                self->node.upstreams.markLeaving(vm, self->node.clock.now());
+                self->node.upstreams.markDraining(vm, self->node.clock.now());
             }
         });
-    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->schedule(); });
+    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->tick(); });
 }
 
-void Notices::schedule()
+void LeavingGossip::tick()
 {
-    const LeavingNotice fresh{this->node.upstreams.takeNewlyLeaving()};
+    const LeavingNotice fresh{this->node.upstreams.takeNewlyDraining()};
     for (const std::string &vm : fresh.vms) {
         logEvent(Event::LeavingHeard, {{"upstream", vm}});
     }
-    this->tell(this->again);
-    this->tell(fresh);
-    this->again = fresh;
+    this->gossip(this->previousNotice);
+    this->gossip(fresh);
+    this->previousNotice = fresh;
     this->timer.expires_after(tellPeriod);
     this->timer.async_wait([self = this->shared_from_this()](const asio::error_code &error) {
         if (!error) {
-            self->schedule();
+            self->tick();
         }
     });
 }
 
-void Notices::tell(const LeavingNotice &notice)
+void LeavingGossip::gossip(const LeavingNotice &notice)
 {
     if (notice.vms.empty()) {
         return;
@@ -60,7 +60,8 @@
     std::vector<Heartbeat> others;
     for (const Heartbeat &member : this->node.members.all()) {
         if (member.id != this->node.settings.id) {
-            (member.place == this->node.settings.place ? local : others).push_back(member);
+            (member.dataCentre == this->node.settings.dataCentre ? local : others)
+                .push_back(member);
         }
     }
     std::vector<Heartbeat> targets;
@@ -73,7 +74,7 @@
         const LeavingNotice part{{notice.vms.begin() + static_cast<std::ptrdiff_t>(first),
                                   notice.vms.begin() + static_cast<std::ptrdiff_t>(last)}};
         for (const Heartbeat &target : targets) {
-            this->link->send(target.datagrams, part);
+            this->link->send(target.datagramEndpoint, part);
         }
     }
 }
--- a/daemon/leavinggossip.h
+++ b/daemon/leavinggossip.h
@@ -12,22 +12,22 @@
 
 /// Spreads the news that upstreams are leaving from router to router: each that hears of it for
 /// the first time tells a few others, twice, so that lost datagrams don't matter.
-class Notices : public std::enable_shared_from_this<Notices>
+class LeavingGossip : public std::enable_shared_from_this<LeavingGossip>
 {
 public:
-    Notices(Node &node, std::shared_ptr<PeerLink> link);
+    LeavingGossip(Node &node, std::shared_ptr<PeerTransport> link);
 
     void start();
 
 private:
-    void schedule();
-    void tell(const LeavingNotice &notice);
+    void tick();
+    void gossip(const LeavingNotice &notice);
 
     Node &node;
-    std::shared_ptr<PeerLink> link;
+    std::shared_ptr<PeerTransport> link;
     asio::steady_timer timer;
     std::mt19937_64 random;
-    LeavingNotice again;
+    LeavingNotice previousNotice;
 };
 
 } // namespace plantainswitch
--- a/daemon/limitservice.cpp
+++ b/daemon/limitservice.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-LimitService::LimitService(Node &node, std::shared_ptr<PeerLink> link)
+LimitService::LimitService(Node &node, std::shared_ptr<PeerTransport> link)
     : node(node)
     , link(std::move(link))
     , timer(this->link->executor())
@@ -23,39 +23,40 @@
 
 void LimitService::start()
 {
-    this->link->handle<LimitReport>([self = this->shared_from_this()](
-                                        std::uint64_t sender, const Endpoint &from, PeerBody body) {
-        const LimitShares answer =
-            self->node.limits.divide(sender, std::get<LimitReport>(body), self->lookup(),
-                                     self->node.fleetSize(), self->node.clock.now());
+    this->link->setHandler<LimitReport>([self = this->shared_from_this()](std::uint64_t sender,
+                                                                          const Endpoint &from,
+                                                                          PeerBody body) {
+        const LimitShares answer = self->node.limits.allocateShares(
+            sender, std::get<LimitReport>(body), self->limitLookup(), self->node.fleetSize(),
+            self->node.clock.now());
         self->link->send(from, answer);
     });
-    this->link->handle<LimitShares>(
+    this->link->setHandler<LimitShares>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &, PeerBody body) {
-            self->node.limits.take(std::get<LimitShares>(body), self->node.clock.now());
+            self->node.limits.applyShares(std::get<LimitShares>(body), self->node.clock.now());
         });
-    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->schedule(); });
+    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->tick(); });
 }
 
-void LimitService::schedule()
+void LimitService::tick()
 {
-    this->report();
+    this->reportUses();
     this->timer.expires_after(tickPeriod);
     this->timer.async_wait([self = this->shared_from_this()](const asio::error_code &error) {
         if (!error) {
-            self->schedule();
+            self->tick();
         }
     });
 }
 
-void LimitService::report()
+void LimitService::reportUses()
 {
     const TimePoint now = this->node.clock.now();
     const MemberSnapshot active = this->node.members.active();
-    this->node.countRouters(*active);
+    this->node.updateRouterCounts(*active);
     this->node.limits.forgetIdle(now);
-    const auto uses =
-        this->node.limits.due(++this->sequence, this->lookup(), this->node.fleetSize(), now);
+    const auto uses = this->node.limits.dueReports(++this->sequence, this->limitLookup(),
+                                                   this->node.fleetSize(), now);
     std::map<std::string, std::pair<Heartbeat, std::vector<LimitUse>>> batches;
     for (const LimitUse &use : uses) {
         const Heartbeat owner =
@@ -65,18 +66,19 @@
         batch.second.push_back(use);
     }
     for (auto &[id, batch] : batches) {
-        this->send(batch.first, std::move(batch.second));
+        this->sendReport(batch.first, std::move(batch.second));
     }
 }
 
-void LimitService::send(const Heartbeat &owner, std::vector<LimitUse> uses)
+void LimitService::sendReport(const Heartbeat &owner, std::vector<LimitUse> uses)
 {
     if (owner.id == this->node.settings.id) {
         const TimePoint now = this->node.clock.now();
         const LimitReport report{this->sequence, std::move(uses)};
-        this->node.limits.take(this->node.limits.divide(this->node.identity, report, this->lookup(),
-                                                        this->node.fleetSize(), now),
-                               now);
+        this->node.limits.applyShares(this->node.limits.allocateShares(this->node.identity, report,
+                                                                       this->limitLookup(),
+                                                                       this->node.fleetSize(), now),
+                                      now);
         return;
     }
     for (std::size_t first = 0; first < uses.size(); first += usesInDatagram) {
@@ -85,15 +87,15 @@
         report.sequence = this->sequence;
         report.uses.assign(uses.begin() + static_cast<std::ptrdiff_t>(first),
                            uses.begin() + static_cast<std::ptrdiff_t>(last));
-        this->link->send(owner.datagrams, report);
+        this->link->send(owner.datagramEndpoint, report);
     }
 }
 
-LimitLookup LimitService::lookup()
+LimitLookup LimitService::limitLookup()
 {
     const auto current = this->node.catalogue.view();
     if (current != this->view) {
-        auto built = std::make_shared<ById>();
+        auto built = std::make_shared<LimitsById>();
         for (const auto &[name, workspace] : current->workspaces) {
             if (workspace.requestsPerSecond != 0 || workspace.maxInFlight != 0) {
                 (*built)[workspaceIdOf(name)] = {workspace.requestsPerSecond,
@@ -104,7 +106,7 @@
         this->limits = std::move(built);
     }
     return [known = this->limits](WorkspaceId workspace) -> std::optional<WorkspaceLimit> {
-        const auto found = known ? known->find(workspace) : ById::const_iterator{};
+        const auto found = known ? known->find(workspace) : LimitsById::const_iterator{};
         if (!known || found == known->end()) {
             return std::nullopt;
         }
--- a/daemon/limitservice.h
+++ b/daemon/limitservice.h
@@ -14,24 +14,24 @@
 class LimitService : public std::enable_shared_from_this<LimitService>
 {
 public:
-    LimitService(Node &node, std::shared_ptr<PeerLink> link);
+    LimitService(Node &node, std::shared_ptr<PeerTransport> link);
 
     void start();
 
 private:
-    using ById = std::map<WorkspaceId, WorkspaceLimit>;
+    using LimitsById = std::map<WorkspaceId, WorkspaceLimit>;
 
-    void schedule();
-    void report();
-    void send(const Heartbeat &owner, std::vector<LimitUse> uses);
-    [[nodiscard]] LimitLookup lookup();
+    void tick();
+    void reportUses();
+    void sendReport(const Heartbeat &owner, std::vector<LimitUse> uses);
+    [[nodiscard]] LimitLookup limitLookup();
 
     Node &node;
-    std::shared_ptr<PeerLink> link;
+    std::shared_ptr<PeerTransport> link;
     asio::steady_timer timer;
     std::uint32_t sequence = 0;
     std::shared_ptr<const CatalogueView> view;
-    std::shared_ptr<const ById> limits;
+    std::shared_ptr<const LimitsById> limits;
 };
 
 } // namespace plantainswitch
--- a/daemon/membershipservice.cpp
+++ b/daemon/membershipservice.cpp
@@ -10,37 +10,38 @@
 
 } // namespace
 
-Beats::Beats(asio::io_context & /*context*/, Node &node, std::shared_ptr<PeerLink> link)
+MembershipService::MembershipService(asio::io_context & /*context*/, Node &node,
+                                     std::shared_ptr<PeerTransport> link)
     : node(node)
     , link(std::move(link))
     , timer(this->link->executor())
 {}
 
-void Beats::start(OnDiffering handler)
+void MembershipService::start(PeerDiffersHandler handler)
 {
-    this->differing = std::move(handler);
+    this->onPeerDiffers = std::move(handler);
     this->seeds.insert(this->node.settings.seeds.begin(), this->node.settings.seeds.end());
-    this->node.members.begin(this->node.heartbeat(), this->node.identity);
-    this->link->handle<SwimMessage>(
+    this->node.members.initialize(this->node.heartbeat(), this->node.identity);
+    this->link->setHandler<SwimMessage>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &from, PeerBody body) {
-            self->hear(std::get<SwimMessage>(body), from);
+            self->receive(std::get<SwimMessage>(body), from);
         });
-    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->schedule(); });
+    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->tick(); });
 }
 
-void Beats::addSeed(const Endpoint &datagrams)
+void MembershipService::addSeed(const Endpoint &datagrams)
 {
     asio::post(this->link->executor(),
                [self = this->shared_from_this(), datagrams] { self->seeds.insert(datagrams); });
 }
 
-void Beats::beat()
+void MembershipService::announceState()
 {
     asio::post(this->link->executor(),
                [self = this->shared_from_this()] { self->announce(false); });
 }
 
-void Beats::farewell(std::function<void()> done)
+void MembershipService::announceLeave(std::function<void()> done)
 {
     asio::post(this->link->executor(), [self = this->shared_from_this(), done = std::move(done)] {
         self->announce(true);
@@ -49,54 +50,55 @@
     });
 }
 
-void Beats::tellVersion()
+void MembershipService::gossipVersion()
 {
     asio::post(this->link->executor(), [self = this->shared_from_this()] {
-        self->take(self->node.members.tellFew(self->node.heartbeat()));
+        self->applyOutput(self->node.members.gossipSelf(self->node.heartbeat()));
     });
 }
 
-void Beats::announce(bool gone)
+void MembershipService::announce(bool gone)
 {
-    this->take(this->node.members.announce(this->node.heartbeat(), gone));
+    this->applyOutput(this->node.members.announce(this->node.heartbeat(), gone));
 }
 
-void Beats::schedule()
+void MembershipService::tick()
 {
-    this->take(
+    this->applyOutput(
         this->node.members.tick(this->node.heartbeat(), this->seeds, this->node.clock.now()));
     this->timer.expires_after(tickPeriod);
     this->timer.async_wait([self = this->shared_from_this()](const asio::error_code &error) {
         if (!error) {
-            self->schedule();
+            self->tick();
         }
     });
 }
 
-void Beats::hear(const SwimMessage &message, const Endpoint &from)
+void MembershipService::receive(const SwimMessage &message, const Endpoint &from)
 {
     const TimePoint now = this->node.clock.now();
-    this->take(this->node.members.receive(message, from, now));
-    const Heartbeat &peer = message.from;
-    if (peer.catalogueAge != neverConfirmed) {
-        this->node.catalogue.confirm(peer.catalogueVersion, now - Milliseconds{peer.catalogueAge});
+    this->applyOutput(this->node.members.receive(message, from, now));
+    const Heartbeat &peer = message.sender;
+    if (peer.catalogueAgeMilliseconds != neverConfirmed) {
+        this->node.catalogue.markConfirmed(peer.catalogueVersion,
+                                           now - Milliseconds{peer.catalogueAgeMilliseconds});
     }
     const Heartbeat own = this->node.heartbeat();
-    const bool newerVms =
-        peer.place == own.place && peer.vmDigest != own.vmDigest && peer.vmStamp >= own.vmStamp;
-    if (peer.catalogueVersion > own.catalogueVersion || newerVms || own.vmStamp == 0) {
-        this->differing(peer);
+    const bool newerVms = peer.dataCentre == own.dataCentre && peer.vmListDigest != own.vmListDigest
+                          && peer.vmListVersion >= own.vmListVersion;
+    if (peer.catalogueVersion > own.catalogueVersion || newerVms || own.vmListVersion == 0) {
+        this->onPeerDiffers(peer);
     }
 }
 
-void Beats::take(const SwimOutput &output)
+void MembershipService::applyOutput(const SwimOutput &output)
 {
     for (const Heartbeat &gone : output.gone) {
         logEvent(Event::MemberGone, {{"member", gone.id}});
         this->node.keeper.releaseRouter(identityOf(gone.id, gone.incarnation));
     }
     for (const Heartbeat &joined : output.joined) {
-        logEvent(Event::MemberJoined, {{"member", joined.id}, {"place", joined.place}});
+        logEvent(Event::MemberJoined, {{"member", joined.id}, {"place", joined.dataCentre}});
     }
     for (const Heartbeat &suspected : output.suspected) {
         logEvent(Event::MemberSuspected, {{"member", suspected.id}});
--- a/daemon/membershipservice.h
+++ b/daemon/membershipservice.h
@@ -13,36 +13,36 @@
 
 /// Keeps the member table by the membership protocol, and hands on what peers say of their
 /// catalogue and list of VMs.
-class Beats : public std::enable_shared_from_this<Beats>
+class MembershipService : public std::enable_shared_from_this<MembershipService>
 {
 public:
     /// Hears of a peer whose catalogue or list of VMs differs from this router's.
-    using OnDiffering = std::function<void(const Heartbeat &)>;
+    using PeerDiffersHandler = std::function<void(const Heartbeat &)>;
 
-    Beats(asio::io_context &context, Node &node, std::shared_ptr<PeerLink> link);
+    MembershipService(asio::io_context &context, Node &node, std::shared_ptr<PeerTransport> link);
 
     /// \param differing runs on the link's strand
-    void start(OnDiffering differing);
+    void start(PeerDiffersHandler differing);
     /// Tells peers of this router's state now, such as at the begin of a stop.
-    void beat();
+    void announceState();
     /// Tells peers that this process ends; \a done runs once the datagrams are handed over.
-    void farewell(std::function<void()> done);
+    void announceLeave(std::function<void()> done);
     /// Tells a few peers of the own place that there is something new to be had here.
-    void tellVersion();
+    void gossipVersion();
     /// Adds a router of the platform's list as an address to speak to.
     void addSeed(const Endpoint &datagrams);
 
 private:
-    void hear(const SwimMessage &message, const Endpoint &from);
-    void take(const SwimOutput &output);
+    void receive(const SwimMessage &message, const Endpoint &from);
+    void applyOutput(const SwimOutput &output);
     void announce(bool gone);
-    void schedule();
+    void tick();
 
     Node &node;
-    std::shared_ptr<PeerLink> link;
+    std::shared_ptr<PeerTransport> link;
     asio::steady_timer timer;
     std::set<Endpoint> seeds;
-    OnDiffering differing;
+    PeerDiffersHandler onPeerDiffers;
 };
 
 } // namespace plantainswitch
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -26,41 +26,41 @@
     , identity(identityOf(this->settings.id, incarnation))
 {}
 
-void Node::countRouters(const std::vector<Heartbeat> &active)
+void Node::updateRouterCounts(const std::vector<Heartbeat> &active)
 {
     std::uint64_t hash = 0;
     for (const Heartbeat &member : active) {
         hash += identityOf(member.id, member.incarnation);
     }
-    if (hash != this->activeHash) {
-        this->activeHash = hash;
-        this->activeChanged = this->clock.now();
+    if (hash != this->activeRoutersHash) {
+        this->activeRoutersHash = hash;
+        this->activeRoutersChangedAt = this->clock.now();
     }
-    plantainswitch::countRouters(this->knownRouters, active.size(), this->clock.now());
-    this->activeCount = active.size();
-    this->knownCount = this->knownRouters.count;
+    plantainswitch::updateKnownRouters(this->knownRouters, active.size(), this->clock.now());
+    this->activeRouterCount = active.size();
+    this->knownRouterCount = this->knownRouters.count;
 }
 
 FleetSize Node::fleetSize() const noexcept
 {
-    return {this->activeCount, this->knownCount, this->activeChanged};
+    return {this->activeRouterCount, this->knownRouterCount, this->activeRoutersChangedAt};
 }
 
 Heartbeat Node::heartbeat() const
 {
     Heartbeat heartbeat;
     heartbeat.id = this->settings.id;
-    heartbeat.place = this->settings.place;
-    heartbeat.datagrams = this->settings.peerDatagrams;
-    heartbeat.calls = this->settings.peerCalls;
+    heartbeat.dataCentre = this->settings.dataCentre;
+    heartbeat.datagramEndpoint = this->settings.peerDatagrams;
+    heartbeat.rpcEndpoint = this->settings.peerCalls;
     heartbeat.incarnation = this->incarnation;
-    const CatalogueStanding standing = this->catalogue.standing();
-    heartbeat.catalogueVersion = standing.completeTo;
+    const CatalogueFreshness standing = this->catalogue.freshness();
+    heartbeat.catalogueVersion = standing.completeVersion;
     if (standing.confirmedAt) {
-        heartbeat.catalogueAge = ageOf(*standing.confirmedAt, this->clock.now());
+        heartbeat.catalogueAgeMilliseconds = ageOf(*standing.confirmedAt, this->clock.now());
     }
-    heartbeat.vmStamp = this->vms.stamp();
-    heartbeat.vmDigest = this->vms.digest();
+    heartbeat.vmListVersion = this->vms.version();
+    heartbeat.vmListDigest = this->vms.digest();
     heartbeat.leaving = this->stopping;
     return heartbeat;
 }
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -13,7 +13,7 @@
 namespace plantainswitch {
 
 /// Tells whether what is sent to a peer's address is lost; empty but in tests of cut networks.
-using PeerLoss = std::function<bool(const Endpoint &to)>;
+using PeerDropFilter = std::function<bool(const Endpoint &to)>;
 
 /// What the parts of a router share: its settings, clock and tables.
 struct Node
@@ -23,18 +23,18 @@
     /// \returns this router's heartbeat as of now.
     [[nodiscard]] Heartbeat heartbeat() const;
     /// Takes the active routers into account; always called on the peer link's strand.
-    void countRouters(const std::vector<Heartbeat> &active);
+    void updateRouterCounts(const std::vector<Heartbeat> &active);
     /// \returns the number of routers by which limits are divided.
     [[nodiscard]] FleetSize fleetSize() const noexcept;
     /// \returns whether what is sent to a peer's address is lost.
-    [[nodiscard]] bool loses(const Endpoint &to) const
+    [[nodiscard]] bool dropsTrafficTo(const Endpoint &to) const
     {
-        return this->peerLoss && this->peerLoss(to);
+        return this->dropPeerTraffic && this->dropPeerTraffic(to);
     }
 
     Settings settings;
     /// Set before the router runs.
-    PeerLoss peerLoss;
+    PeerDropFilter dropPeerTraffic;
     const Clock &clock;
     std::uint64_t incarnation;
     /// Hash of id and incarnation, by which peers know this process.
@@ -43,7 +43,7 @@
     MemberTable members;
     VmTable vms;
     UpstreamTable upstreams;
-    KeeperTable keeper;
+    ShardCoordinator keeper;
     OwnClaimTable ownClaims;
     SuspectTable suspects;
     LimitTable limits;
@@ -52,12 +52,12 @@
     Metrics metrics;
     std::atomic<bool> stopping = false;
     std::atomic<std::uint64_t> inFlight = 0;
-    std::atomic<std::uint64_t> nextRequest = 1;
+    std::atomic<std::uint64_t> nextRequestNumber = 1;
     KnownRouters knownRouters;
-    std::atomic<std::size_t> activeCount = 1;
-    std::atomic<std::size_t> knownCount = 1;
-    std::atomic<TimePoint> activeChanged;
-    std::uint64_t activeHash = 0;
+    std::atomic<std::size_t> activeRouterCount = 1;
+    std::atomic<std::size_t> knownRouterCount = 1;
+    std::atomic<TimePoint> activeRoutersChangedAt;
+    std::uint64_t activeRoutersHash = 0;
 };
 
 /// \returns the hash by which peers know the process of that id and incarnation.
--- a/daemon/operators.h
+++ b/daemon/operators.h
@@ -9,6 +9,6 @@
 namespace plantainswitch {
 
 /// Serves the operators' address: health, readiness, metrics, explanations, status.
-void serveOperator(Node &node, const net::HttpRequest &request, net::HttpReply &reply);
+void serveOperator(Node &node, const net::HttpRequest &request, net::HttpResponder &reply);
 
 } // namespace plantainswitch
--- a/daemon/orderservice.cpp
+++ b/daemon/orderservice.cpp
@@ -25,22 +25,22 @@
     return found != json.end() && found->is_string() ? found->get<std::string>() : "";
 }
 
-EngineReading readingOf(const Vm &vm, const net::HttpAnswer &answer)
+EngineStatus readingOf(const Vm &vm, const net::HttpResponse &answer)
 {
-    EngineReading reading;
+    EngineStatus reading;
     reading.vm = vm;
     const auto json = nlohmann::json::parse(answer.body, nullptr, false);
     if (answer.status != statusOk || !json.is_object()) {
         return reading;
     }
-    reading.read = true;
+    reading.isReachable = true;
     reading.setup = {textOf(json, "model"), textOf(json, "version"), textOf(json, "adapter"),
                      textOf(json, "role")};
     const auto loading = json.find("loading");
-    reading.loading = loading != json.end() && loading->is_boolean() && loading->get<bool>();
+    reading.isLoading = loading != json.end() && loading->is_boolean() && loading->get<bool>();
     const auto fencing = json.find("fencing");
     if (fencing != json.end() && fencing->is_number_unsigned()) {
-        reading.fencing = fencing->get<std::uint64_t>();
+        reading.fencingToken = fencing->get<std::uint64_t>();
     }
     return reading;
 }
@@ -54,7 +54,7 @@
             {"fencing", fencing}};
 }
 
-std::optional<LeaseObject> leaseOf(const net::PlatformAnswer &answer)
+std::optional<LeaseObject> leaseOf(const net::PlatformResponse &answer)
 {
     if (!answer.object || !answer.object->body.is_object()) {
         return std::nullopt;
@@ -74,28 +74,28 @@
 
 void OrderService::start()
 {
-    asio::post(this->strand, [self = this->shared_from_this()] { self->schedule(); });
+    asio::post(this->strand, [self = this->shared_from_this()] { self->tick(); });
 }
 
-void OrderService::schedule()
+void OrderService::tick()
 {
-    this->look();
+    this->startRounds();
     this->timer.expires_after(roundPeriod);
     this->timer.async_wait([self = this->shared_from_this()](const asio::error_code &error) {
         if (!error) {
-            self->schedule();
+            self->tick();
         }
     });
 }
 
-void OrderService::look()
+void OrderService::startRounds()
 {
     const auto view = this->node.catalogue.view();
     if (!view || this->node.stopping) {
         return;
     }
     for (const auto &[name, service] : view->services) {
-        if (service.engines.setup.empty() || !this->watchesPool(name)) {
+        if (service.engines.setup.empty() || !this->isPoolWatcher(name)) {
             continue;
         }
         PoolPointer &pool = this->pools[name];
@@ -103,65 +103,65 @@
             pool = std::make_shared<Pool>();
             pool->service = name;
         }
-        if (!pool->busy) {
+        if (!pool->roundInProgress) {
             pool->wanted = service.engines;
             this->readEngines(pool);
         }
     }
 }
 
-bool OrderService::watchesPool(const std::string &service) const
+bool OrderService::isPoolWatcher(const std::string &service) const
 {
     const auto watcher =
-        keeperOf({service, this->node.settings.place, 0}, *this->node.members.active());
+        coordinatorOf({service, this->node.settings.dataCentre, 0}, *this->node.members.active());
     return watcher && watcher->id == this->node.settings.id;
 }
 
 void OrderService::readEngines(const PoolPointer &pool)
 {
-    const auto engines = this->node.upstreams.ready(pool->service, this->node.settings.place,
+    const auto engines = this->node.upstreams.ready(pool->service, this->node.settings.dataCentre,
                                                     this->node.clock.now());
     pool->engines.clear();
-    pool->unread = engines.size();
-    pool->busy = !engines.empty();
+    pool->pendingReadings = engines.size();
+    pool->roundInProgress = !engines.empty();
     for (const Upstream &engine : engines) {
-        EngineReading reading;
+        EngineStatus reading;
         reading.vm = engine.vm;
         pool->engines.push_back(std::move(reading));
     }
     for (std::size_t index = 0; index < engines.size(); ++index) {
         net::HttpCall call;
         call.url = ordersOf(engines[index].vm);
-        call.wholeTimeout = engineTimeout;
+        call.totalTimeout = engineTimeout;
         this->http.fetch(std::move(call), [self = this->shared_from_this(), pool,
-                                           index](const net::HttpAnswer &answer) {
+                                           index](const net::HttpResponse &answer) {
             asio::post(self->strand,
-                       [self, pool, index, answer] { self->takeReading(pool, index, answer); });
+                       [self, pool, index, answer] { self->handleReading(pool, index, answer); });
         });
     }
 }
 
-void OrderService::takeReading(const PoolPointer &pool, std::size_t index,
-                               const net::HttpAnswer &answer)
+void OrderService::handleReading(const PoolPointer &pool, std::size_t index,
+                                 const net::HttpResponse &answer)
 {
     pool->engines[index] = readingOf(pool->engines[index].vm, answer);
-    if (--pool->unread > 0) {
+    if (--pool->pendingReadings > 0) {
         return;
     }
     const bool done = std::all_of(
-        pool->engines.begin(), pool->engines.end(), [&pool](const EngineReading &engine) {
-            return engine.read && isInState(engine.setup, pool->wanted.setup);
+        pool->engines.begin(), pool->engines.end(), [&pool](const EngineStatus &engine) {
+            return engine.isReachable && matchesSetup(engine.setup, pool->wanted.setup);
         });
-    if (done && !pool->done) {
+    if (done && !pool->converged) {
         logEvent(Event::OrdersDone, {{"service", pool->service}});
     }
-    pool->done = done;
+    pool->converged = done;
     if (done) {
         // Without work the lease is left to lapse, so that an idle fleet writes nothing.
-        pool->busy = false;
+        pool->roundInProgress = false;
         return;
     }
-    this->readLease(pool, &OrderService::decide);
+    this->readLease(pool, &OrderService::decideOnLease);
 }
 
 void OrderService::readLease(const PoolPointer &pool,
@@ -170,16 +170,17 @@
     this->node.metrics.count(Counter::PlatformCalls);
     this->platform.get(
         leaseKind, this->leaseName(pool->service),
-        [self = this->shared_from_this(), pool, next](const net::PlatformAnswer &answer) {
+        [self = this->shared_from_this(), pool, next](const net::PlatformResponse &answer) {
             asio::post(self->strand, [self, pool, next, answer] {
                 const bool known = answer.status == net::PlatformStatus::Ok
                                    || answer.status == net::PlatformStatus::NotFound;
                 if (!known) {
-                    pool->busy = false;
+                    pool->roundInProgress = false;
                     return;
                 }
                 const bool held = pool->lease.heldVersion.has_value();
-                observeLease(pool->lease, leaseOf(answer), self->self(), self->node.clock.now());
+                observeLease(pool->lease, leaseOf(answer), self->holderId(),
+                             self->node.clock.now());
                 if (held && !pool->lease.heldVersion) {
                     logEvent(Event::OrderLeaseLost, {{"service", pool->service}});
                 }
@@ -188,10 +189,11 @@
         });
 }
 
-void OrderService::decide(const PoolPointer &pool)
+void OrderService::decideOnLease(const PoolPointer &pool)
 {
     const TimePoint now = this->node.clock.now();
-    if (decideLease(pool->lease, this->self(), this->settings, now).action != LeaseAction::None) {
+    if (decideLease(pool->lease, this->holderId(), this->settings, now).action
+        != LeaseAction::None) {
         this->writeLease(pool);
         return;
     }
@@ -202,41 +204,43 @@
 void OrderService::writeLease(const PoolPointer &pool)
 {
     const TimePoint sentAt = this->node.clock.now();
-    const LeaseDecision decision = decideLease(pool->lease, this->self(), this->settings, sentAt);
+    const LeaseDecision decision =
+        decideLease(pool->lease, this->holderId(), this->settings, sentAt);
     this->node.metrics.count(Counter::PlatformCalls);
     this->platform.put(
         leaseKind, this->leaseName(pool->service), decision.ifVersion,
-        {{"holder", this->self()}, {"place", this->node.settings.place}},
+        {{"holder", this->holderId()}, {"place", this->node.settings.dataCentre}},
         [self = this->shared_from_this(), pool, decision,
-         sentAt](const net::PlatformAnswer &answer) {
+         sentAt](const net::PlatformResponse &answer) {
             asio::post(self->strand, [self, pool, decision, sentAt, answer] {
                 // A lost answer is settled by the next reading of the lease.
                 if (answer.status == net::PlatformStatus::Ok && answer.object) {
-                    leaseWritten(pool->lease, self->self(), answer.object->version, self->settings,
-                                 sentAt);
-                    if (decision.action == LeaseAction::Take) {
+                    recordLeaseWrite(pool->lease, self->holderId(), answer.object->version,
+                                     self->settings, sentAt);
+                    if (decision.action == LeaseAction::Acquire) {
                         logEvent(Event::OrderLeaseTaken, {{"service", pool->service}});
                     }
                 }
-                pool->busy = false;
+                pool->roundInProgress = false;
             });
         });
 }
 
 void OrderService::sendOrders(const PoolPointer &pool)
 {
-    pool->busy = false;
-    const auto fencing = fencingNumber(pool->lease, pool->wanted.checkFencing, this->settings,
-                                       this->node.clock.now());
-    if (!fencing || pool->lease.seen->version != *fencing) {
+    pool->roundInProgress = false;
+    const auto fencing = currentFencingToken(pool->lease, pool->wanted.checkFencing, this->settings,
+                                             this->node.clock.now());
+    if (!fencing || pool->lease.observed->version != *fencing) {
         return;
     }
     for (const std::size_t index : planOrders(pool->engines, pool->wanted)) {
-        this->send(pool->engines[index], pool, *fencing);
+        this->sendOrderTo(pool->engines[index], pool, *fencing);
     }
 }
 
-void OrderService::send(const EngineReading &engine, const PoolPointer &pool, std::uint64_t fencing)
+void OrderService::sendOrderTo(const EngineStatus &engine, const PoolPointer &pool,
+                               std::uint64_t fencing)
 {
     logEvent(Event::OrderSent, {{"engine", engine.vm.id},
                                 {"service", pool->service},
@@ -245,9 +249,9 @@
     call.method = "PUT";
     call.url = ordersOf(engine.vm);
     call.body = orderBody(pool->wanted.setup, fencing).dump();
-    call.wholeTimeout = engineTimeout;
+    call.totalTimeout = engineTimeout;
     call.freshConnection = true;
-    this->http.fetch(std::move(call), [id = engine.vm.id](const net::HttpAnswer &answer) {
+    this->http.fetch(std::move(call), [id = engine.vm.id](const net::HttpResponse &answer) {
         if (answer.status != statusOk) {
             logEvent(Event::OrderRefused,
                      {{"engine", id}, {"status", std::to_string(answer.status)}});
@@ -257,10 +261,10 @@
 
 std::string OrderService::leaseName(const std::string &service) const
 {
-    return service + "@" + this->node.settings.place;
+    return service + "@" + this->node.settings.dataCentre;
 }
 
-std::string OrderService::self() const
+std::string OrderService::holderId() const
 {
     return this->node.settings.id + "#" + std::to_string(this->node.incarnation);
 }
--- a/daemon/orderservice.h
+++ b/daemon/orderservice.h
@@ -30,28 +30,28 @@
     {
         std::string service;
         EngineOrders wanted;
-        LeaseWatch lease;
-        std::vector<EngineReading> engines;
-        std::size_t unread = 0;
+        LeaseState lease;
+        std::vector<EngineStatus> engines;
+        std::size_t pendingReadings = 0;
         /// A round of reading, deciding and ordering is under way.
-        bool busy = false;
-        bool done = false;
+        bool roundInProgress = false;
+        bool converged = false;
     };
     using PoolPointer = std::shared_ptr<Pool>;
 
-    void schedule();
-    void look();
+    void tick();
+    void startRounds();
     void readEngines(const PoolPointer &pool);
-    void takeReading(const PoolPointer &pool, std::size_t index, const net::HttpAnswer &answer);
-    void decide(const PoolPointer &pool);
+    void handleReading(const PoolPointer &pool, std::size_t index, const net::HttpResponse &answer);
+    void decideOnLease(const PoolPointer &pool);
     void readLease(const PoolPointer &pool, void (OrderService::*next)(const PoolPointer &));
     void writeLease(const PoolPointer &pool);
     void sendOrders(const PoolPointer &pool);
-    void send(const EngineReading &engine, const PoolPointer &pool, std::uint64_t fencing);
-    [[nodiscard]] bool watchesPool(const std::string &service) const;
+    void sendOrderTo(const EngineStatus &engine, const PoolPointer &pool, std::uint64_t fencing);
+    [[nodiscard]] bool isPoolWatcher(const std::string &service) const;
     [[nodiscard]] std::string leaseName(const std::string &service) const;
     /// This process as a holder of leases.
-    [[nodiscard]] std::string self() const;
+    [[nodiscard]] std::string holderId() const;
 
     Node &node;
     net::HttpClient &http;
--- a/daemon/peercalls.cpp
+++ b/daemon/peercalls.cpp
@@ -23,8 +23,8 @@
     to.set_name(from.key.name);
     to.set_version(from.version);
     const std::string body = from.body ? toJson(*from.body).dump() : std::string{};
-    to.set_body(from.unread.value_or(body));
-    if (from.unread) {
+    to.set_body(from.unreadableText.value_or(body));
+    if (from.unreadableText) {
         to.set_last_good(body);
     }
 }
@@ -49,27 +49,27 @@
     entry.body = readBody(*kind, from.body());
     if (!entry.body) {
         logEvent(Event::EntryInvalid, {{"entry", entry.key.name}, {"from", "peer"}});
-        entry.unread = from.body();
+        entry.unreadableText = from.body();
         entry.body = readBody(*kind, from.last_good());
     }
     return entry;
 }
 
-void toWire(const VmLine &from, wire::VmLine &to)
+void toWire(const VmRecord &from, wire::VmLine &to)
 {
     to.set_id(from.vm.id);
     to.set_role(std::string(nameOf(from.vm.role)));
     to.set_service(from.vm.service);
-    to.set_place(from.vm.place);
+    to.set_place(from.vm.dataCentre);
     to.mutable_endpoint()->set_host(from.vm.endpoint.host);
     to.mutable_endpoint()->set_port(from.vm.endpoint.port);
     to.set_leaving(from.vm.leaving);
-    to.set_started(from.vm.started);
-    to.set_stamp(from.stamp);
+    to.set_started(from.vm.startStamp);
+    to.set_stamp(from.version);
     to.set_gone(from.gone);
 }
 
-std::optional<VmLine> fromWire(const wire::VmLine &from)
+std::optional<VmRecord> fromWire(const wire::VmLine &from)
 {
     const auto role = vmRoleOf(from.role());
     if (!role) {
@@ -77,15 +77,15 @@
     }
     const Endpoint endpoint{from.endpoint().host(),
                             static_cast<std::uint16_t>(from.endpoint().port())};
-    return VmLine{
+    return VmRecord{
         {from.id(), *role, from.service(), from.place(), endpoint, from.leaving(), from.started()},
         from.stamp(),
         from.gone()};
 }
 
-Pulled fromWire(const wire::PullReply &from)
+PullResult fromWire(const wire::PullReply &from)
 {
-    Pulled pulled;
+    PullResult pulled;
     for (const wire::CatalogueEntry &each : from.entries()) {
         if (auto entry = fromWire(each)) {
             pulled.entries.push_back(std::move(*entry));
@@ -96,7 +96,7 @@
             pulled.vms.push_back(std::move(*line));
         }
     }
-    pulled.completeTo = from.complete_version();
+    pulled.completeVersion = from.complete_version();
     pulled.catalogueAge = from.catalogue_age();
     return pulled;
 }
@@ -115,14 +115,14 @@
         // Read before the entries: what comes in between is then handed out without being
         // promised, never promised without being handed out.
         const Heartbeat own = this->node.heartbeat();
-        for (const Entry &entry : this->node.catalogue.entriesAbove(request->after_version())) {
+        for (const Entry &entry : this->node.catalogue.entriesSince(request->after_version())) {
             toWire(entry, *reply->add_entries());
         }
-        for (const VmLine &line : this->node.vms.above(request->vm_stamp())) {
+        for (const VmRecord &line : this->node.vms.recordsSince(request->vm_stamp())) {
             toWire(line, *reply->add_vms());
         }
         reply->set_complete_version(own.catalogueVersion);
-        reply->set_catalogue_age(own.catalogueAge);
+        reply->set_catalogue_age(own.catalogueAgeMilliseconds);
         this->node.metrics.countSent(ControlKind::Pull, reply->ByteSizeLong());
         grpc::ServerUnaryReactor *reactor = context->DefaultReactor();
         reactor->Finish(grpc::Status::OK);
@@ -137,11 +137,11 @@
         if (request->owner() == this->node.identity) {
             const auto own = this->node.ownClaims.find(request->nonce());
             reply->set_state(static_cast<std::uint32_t>(own.state));
-            if (own.answer) {
+            if (own.response) {
                 reply->set_answered(true);
-                reply->set_status(own.answer->status);
-                reply->set_content_type(own.answer->contentType);
-                reply->set_body(own.answer->body);
+                reply->set_status(own.response->status);
+                reply->set_content_type(own.response->contentType);
+                reply->set_body(own.response->body);
             }
         }
         grpc::ServerUnaryReactor *reactor = context->DefaultReactor();
@@ -156,11 +156,11 @@
 plantainswitch::OwnClaim fromWire(const wire::OwnClaimReply &from)
 {
     plantainswitch::OwnClaim own;
-    if (from.state() <= static_cast<std::uint32_t>(OwnState::Lost)) {
-        own.state = static_cast<OwnState>(from.state());
+    if (from.state() <= static_cast<std::uint32_t>(OwnClaimState::Lost)) {
+        own.state = static_cast<OwnClaimState>(from.state());
     }
     if (from.answered()) {
-        own.answer = KeptAnswer{from.status(), from.content_type(), from.body()};
+        own.response = CachedResponse{from.status(), from.content_type(), from.body()};
     }
     return own;
 }
@@ -286,14 +286,14 @@
 }
 
 void PeerCalls::pull(const Heartbeat &peer, std::uint64_t version, std::uint64_t vmStamp,
-                     std::function<void(std::optional<Pulled>)> done)
+                     std::function<void(std::optional<PullResult>)> done)
 {
-    if (this->state->node.loses(peer.calls)) {
+    if (this->state->node.dropsTrafficTo(peer.rpcEndpoint)) {
         done(std::nullopt);
         return;
     }
     auto call = std::make_shared<PullCall>();
-    call->channel = this->state->channelTo(peer.calls);
+    call->channel = this->state->channelTo(peer.rpcEndpoint);
     call->stub = wire::Peer::NewStub(call->channel);
     call->request.set_after_version(version);
     call->request.set_vm_stamp(vmStamp);
@@ -303,15 +303,15 @@
     });
 }
 
-void PeerCalls::ownClaim(const Heartbeat &owner, std::uint64_t nonce,
-                         std::function<void(std::optional<OwnClaim>)> done)
+void PeerCalls::queryOwnClaim(const Heartbeat &owner, std::uint64_t nonce,
+                              std::function<void(std::optional<OwnClaim>)> done)
 {
-    if (this->state->node.loses(owner.calls)) {
+    if (this->state->node.dropsTrafficTo(owner.rpcEndpoint)) {
         done(std::nullopt);
         return;
     }
     auto call = std::make_shared<OwnClaimCall>();
-    call->channel = this->state->channelTo(owner.calls);
+    call->channel = this->state->channelTo(owner.rpcEndpoint);
     call->stub = wire::Peer::NewStub(call->channel);
     call->request.set_owner(identityOf(owner.id, owner.incarnation));
     call->request.set_nonce(nonce);
--- a/daemon/peercalls.h
+++ b/daemon/peercalls.h
@@ -9,12 +9,12 @@
 namespace plantainswitch {
 
 /// What a peer handed out.
-struct Pulled
+struct PullResult
 {
     std::vector<Entry> entries;
-    std::uint64_t completeTo = 0;
+    std::uint64_t completeVersion = 0;
     std::uint32_t catalogueAge = neverConfirmed;
-    std::vector<VmLine> vms;
+    std::vector<VmRecord> vms;
 };
 
 /// The gRPC calls between routers: what doesn't fit into a datagram.
@@ -33,12 +33,12 @@
     /// \a vmStamp.
     /// \param done gets what came, or nothing on failure; called on a gRPC thread
     void pull(const Heartbeat &peer, std::uint64_t version, std::uint64_t vmStamp,
-              std::function<void(std::optional<Pulled>)> done);
+              std::function<void(std::optional<PullResult>)> done);
 
     /// Asks \a owner what became of its claim \a nonce.
     /// \param done gets the claim, or nothing when the owner can't be asked
-    void ownClaim(const Heartbeat &owner, std::uint64_t nonce,
-                  std::function<void(std::optional<OwnClaim>)> done);
+    void queryOwnClaim(const Heartbeat &owner, std::uint64_t nonce,
+                       std::function<void(std::optional<OwnClaim>)> done);
 
 private:
     struct State;
--- a/daemon/peercodec.cpp
+++ b/daemon/peercodec.cpp
@@ -71,7 +71,7 @@
     std::visit([&datagram](const auto &body) { codec::fill(datagram, body); }, message.body);
     // With long names a few rumours are more than a datagram takes. The receiver would refuse it
     // as a whole, heartbeat and all, and take the sender for gone; rumours come again.
-    while (datagram.ByteSizeLong() > longestDatagram && datagram.swim().updates_size() > 0) {
+    while (datagram.ByteSizeLong() > maxDatagramBytes && datagram.swim().updates_size() > 0) {
         datagram.mutable_swim()->mutable_updates()->RemoveLast();
     }
     return datagram.SerializeAsString();
@@ -84,7 +84,7 @@
     static google::protobuf::LogHandler *const previous = google::protobuf::SetLogHandler(nullptr);
     static_cast<void>(previous);
     wire::Datagram datagram;
-    if (bytes.size() > longestDatagram
+    if (bytes.size() > maxDatagramBytes
         || !datagram.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         return std::nullopt;
     }
--- a/daemon/peercodec.h
+++ b/daemon/peercodec.h
@@ -9,9 +9,10 @@
 
 namespace plantainswitch {
 
-using PeerBody = std::variant<SwimMessage, LeavingNotice, SlotAsk, SlotReply, SlotRelease, ClaimAsk,
-                              ClaimReply, ClaimRelease, SuspectNews, LimitReport, LimitShares,
-                              SlotDigest, SlotListAsk, SlotList, ShardSummary, ChatHints>;
+using PeerBody =
+    std::variant<SwimMessage, LeavingNotice, SlotRequest, SlotReply, SlotRelease, ClaimRequest,
+                 ClaimReply, ClaimRelease, SuspectUpdate, LimitReport, LimitShares, SlotDigest,
+                 SlotListRequest, SlotList, ShardSummary, ChatHints>;
 
 /// A datagram between routers.
 struct PeerMessage
@@ -22,7 +23,7 @@
 };
 
 /// Longest datagram that is sent or taken: below the usual MTU, so that none is fragmented.
-inline constexpr std::size_t longestDatagram = 1400;
+inline constexpr std::size_t maxDatagramBytes = 1400;
 
 [[nodiscard]] std::string encode(const PeerMessage &message);
 /// \returns the message, or nothing when \a bytes are not one.
--- a/daemon/peertransport.cpp
+++ b/daemon/peertransport.cpp
@@ -22,13 +22,13 @@
 
 } // namespace
 
-PeerLink::PeerLink(asio::io_context &context, Node &node)
+PeerTransport::PeerTransport(asio::io_context &context, Node &node)
     : node(node)
     , strand(asio::make_strand(context))
     , socket(strand)
 {}
 
-void PeerLink::start()
+void PeerTransport::start()
 {
     const udp::endpoint local = addressOf(this->node.settings.peerDatagrams);
     this->socket.open(local.protocol());
@@ -36,14 +36,14 @@
     asio::post(this->strand, [self = this->shared_from_this()] { self->receive(); });
 }
 
-void PeerLink::forgetHandlers()
+void PeerTransport::shutdown()
 {
     this->handlers.clear();
     asio::error_code ignored;
     this->socket.close(ignored);
 }
 
-void PeerLink::receive()
+void PeerTransport::receive()
 {
     this->socket.async_receive_from(
         asio::buffer(this->buffer), this->sender,
@@ -52,13 +52,13 @@
                 return;
             }
             if (!error) {
-                self->take(size);
+                self->handleDatagram(size);
             }
             self->receive();
         });
 }
 
-void PeerLink::take(std::size_t size)
+void PeerTransport::handleDatagram(std::size_t size)
 {
     this->node.metrics.count(Counter::ControlBytesReceived, size + datagramOverhead);
     const Endpoint from{this->sender.address().to_string(), this->sender.port()};
@@ -73,12 +73,12 @@
     }
 }
 
-void PeerLink::send(const Endpoint &to, const PeerBody &body)
+void PeerTransport::send(const Endpoint &to, const PeerBody &body)
 {
     auto bytes = std::make_shared<std::string>(encode({this->node.identity, body}));
     this->node.metrics.countSent(static_cast<ControlKind>(body.index()),
                                  bytes->size() + datagramOverhead);
-    if (this->node.loses(to)) {
+    if (this->node.dropsTrafficTo(to)) {
         return;
     }
     asio::post(this->strand, [self = this->shared_from_this(), bytes, to = addressOf(to)] {
--- a/daemon/platformsync.cpp
+++ b/daemon/platformsync.cpp
@@ -40,7 +40,7 @@
     std::vector<Fault> faults;
     entry.body = parseEntry(*kind, object.body, faults);
     if (!entry.body) {
-        entry.unread = object.body.dump();
+        entry.unreadableText = object.body.dump();
         logEvent(
             Event::EntryInvalid,
             {{"kind", object.kind}, {"entry", object.name}, {"fault", toText(faults.front())}});
@@ -56,11 +56,11 @@
 
 } // namespace
 
-Sync::Sync(asio::io_context &context, Node &node, net::HttpClient &http,
-           std::shared_ptr<Beats> beats, PeerCalls &calls)
+PlatformSync::PlatformSync(asio::io_context &context, Node &node, net::HttpClient &http,
+                           std::shared_ptr<MembershipService> beats, PeerCalls &calls)
     : node(node)
     , platform(http, node.settings.platformUrl)
-    , beats(std::move(beats))
+    , membership(std::move(beats))
     , calls(calls)
     , strand(asio::make_strand(context))
     , watchTimer(strand)
@@ -69,7 +69,7 @@
     , random(node.identity)
 {}
 
-void Sync::start()
+void PlatformSync::start()
 {
     asio::post(this->strand, [self = this->shared_from_this()] {
         self->watchCatalogue();
@@ -77,7 +77,8 @@
     });
 }
 
-void Sync::after(asio::steady_timer &timer, milliseconds delay, void (Sync::*next)())
+void PlatformSync::scheduleAfter(asio::steady_timer &timer, milliseconds delay,
+                                 void (PlatformSync::*next)())
 {
     // A tenth more or less, so that routers that failed together don't come back together.
     std::uniform_int_distribution<milliseconds::rep> jitter(-delay.count() / 10,
@@ -90,7 +91,7 @@
     });
 }
 
-void Sync::setWatching(bool chosen)
+void PlatformSync::setWatching(bool chosen)
 {
     if (this->watching != chosen) {
         this->watching = chosen;
@@ -98,56 +99,56 @@
     }
 }
 
-void Sync::watchCatalogue()
+void PlatformSync::watchCatalogue()
 {
     const Settings &settings = this->node.settings;
-    this->setWatching(isWatcher(settings.id, settings.place, *this->node.members.active()));
+    this->setWatching(isWatcher(settings.id, settings.dataCentre, *this->node.members.active()));
     if (this->watching) {
-        this->callChanges(true);
+        this->requestChanges(true);
     } else if (this->node.catalogue.staleness(this->node.clock.now()) > confirmationMissed) {
-        this->callChanges(false);
+        this->requestChanges(false);
     } else {
-        this->after(this->watchTimer, roleSpacing, &Sync::watchCatalogue);
+        this->scheduleAfter(this->watchTimer, roleSpacing, &PlatformSync::watchCatalogue);
     }
 }
 
-void Sync::callChanges(bool waiting)
+void PlatformSync::requestChanges(bool waiting)
 {
     this->node.metrics.count(Counter::PlatformCalls);
-    std::uint64_t known = this->node.catalogue.standing().completeTo;
+    std::uint64_t known = this->node.catalogue.freshness().completeVersion;
     if (this->rereadAt && this->node.clock.now() >= *this->rereadAt) {
         this->rereadAt.reset();
         known = 0;
     }
-    this->platform.changes(
+    this->platform.listChanges(
         watchedKinds, known, waiting && known > 0 ? watchWait : milliseconds{0},
         [self = this->shared_from_this(), known,
          waiting](std::optional<net::PlatformChanges> changes) {
             asio::post(self->strand, [self, known, waiting, changes = std::move(changes)] {
                 if (changes) {
-                    self->takeChanges(*changes, known);
+                    self->applyChanges(*changes, known);
                 } else {
-                    self->losePlatform();
+                    self->markPlatformUnreachable();
                 }
                 const milliseconds spacing = changes ? watchSpacing : retryDelay;
-                self->after(self->watchTimer, waiting ? spacing : unaidedSpacing,
-                            &Sync::watchCatalogue);
+                self->scheduleAfter(self->watchTimer, waiting ? spacing : unaidedSpacing,
+                                    &PlatformSync::watchCatalogue);
             });
         });
 }
 
-void Sync::losePlatform()
+void PlatformSync::markPlatformUnreachable()
 {
-    if (!this->platformLost) {
-        this->platformLost = true;
+    if (!this->platformUnreachable) {
+        this->platformUnreachable = true;
         logEvent(Event::PlatformUnreachable, {});
     }
 }
 
-void Sync::takeChanges(const net::PlatformChanges &changes, std::uint64_t known)
+void PlatformSync::applyChanges(const net::PlatformChanges &changes, std::uint64_t known)
 {
-    if (this->platformLost) {
-        this->platformLost = false;
+    if (this->platformUnreachable) {
+        this->platformUnreachable = false;
         logEvent(Event::PlatformBack, {});
     }
     const bool behind = changes.version < known;
@@ -169,127 +170,128 @@
         this->rereadAt = this->node.clock.now() + rereadDelay;
     }
     const std::size_t taken = this->node.catalogue.merge(entries);
-    this->node.catalogue.complete(changes.version, this->node.clock.now());
+    this->node.catalogue.markComplete(changes.version, this->node.clock.now());
     if (taken > 0) {
         logEvent(Event::CatalogueTaken, {{"from", "platform"},
                                          {"entries", std::to_string(taken)},
                                          {"version", std::to_string(changes.version)}});
-        this->beats->tellVersion();
+        this->membership->gossipVersion();
     }
 }
 
-void Sync::pollVms()
+void PlatformSync::pollVms()
 {
     const Settings &settings = this->node.settings;
-    if (!isWatcher(settings.id, settings.place, *this->node.members.active())) {
+    if (!isWatcher(settings.id, settings.dataCentre, *this->node.members.active())) {
         this->vmPolls = {};
-        this->after(this->vmTimer, vmPeriod, &Sync::pollVms);
+        this->scheduleAfter(this->vmTimer, vmPeriod, &PlatformSync::pollVms);
         return;
     }
     this->node.metrics.count(Counter::PlatformCalls);
-    this->platform.vms([self = this->shared_from_this()](net::VmListPointer vms) {
+    this->platform.listVms([self = this->shared_from_this()](net::VmListPointer vms) {
         asio::post(self->strand, [self, vms = std::move(vms)] {
             if (vms) {
-                self->takeVms(*vms);
+                self->applyVmList(*vms);
             }
-            self->after(self->vmTimer, vmPeriod, &Sync::pollVms);
+            self->scheduleAfter(self->vmTimer, vmPeriod, &PlatformSync::pollVms);
         });
     });
 }
 
-void Sync::takeVms(const std::vector<Vm> &vms)
+void PlatformSync::applyVmList(const std::vector<Vm> &vms)
 {
     const Settings &settings = this->node.settings;
-    const auto watchers = watchersOf(settings.place, *this->node.members.active(), 1);
+    const auto watchers = watchersOf(settings.dataCentre, *this->node.members.active(), 1);
     if (!watchers.empty() && watchers.front().id != settings.id) {
         // The first watcher publishes a change when it sees it; the others only what the first
         // has not published for some polls.
         this->vmPolls.previous.clear();
     }
-    const std::uint32_t shrunkBefore = this->vmPolls.shrunk;
-    const std::size_t changed = this->node.vms.poll(this->vmPolls, vms, wallMilliseconds());
-    if (this->vmPolls.shrunk > 0 && shrunkBefore == 0) {
+    const std::uint32_t shrunkBefore = this->vmPolls.shortPolls;
+    const std::size_t changed = this->node.vms.applyPoll(this->vmPolls, vms, wallMilliseconds());
+    if (this->vmPolls.shortPolls > 0 && shrunkBefore == 0) {
         logEvent(Event::VmListShort, {{"lines", std::to_string(vms.size())}});
     }
     if (changed > 0) {
-        this->putVmsInForce();
-        this->beats->tellVersion();
+        this->publishVms();
+        this->membership->gossipVersion();
     }
 }
 
-void Sync::putVmsInForce()
+void PlatformSync::publishVms()
 {
     const std::vector<Vm> vms = this->node.vms.vms();
     this->node.upstreams.replace(vms, this->node.clock.now());
     for (const Vm &vm : vms) {
         if (vm.role == VmRole::Router) {
-            this->beats->addSeed(vm.endpoint);
+            this->membership->addSeed(vm.endpoint);
         }
     }
 }
 
-void Sync::hearOf(const Heartbeat &peer)
+void PlatformSync::pullFrom(const Heartbeat &peer)
 {
     asio::post(this->strand, [self = this->shared_from_this(), peer] {
-        if (!self->source || self->source->catalogueVersion <= peer.catalogueVersion) {
-            self->source = peer;
+        if (!self->pullSource || self->pullSource->catalogueVersion <= peer.catalogueVersion) {
+            self->pullSource = peer;
         }
         if (!self->pulling) {
-            self->pull();
+            self->pullFromSource();
         }
     });
 }
 
-void Sync::pull()
+void PlatformSync::pullFromSource()
 {
     const Heartbeat own = this->node.heartbeat();
-    const bool sameVms = this->source && this->source->vmDigest == own.vmDigest;
-    if (!this->source || (sameVms && this->source->catalogueVersion <= own.catalogueVersion)) {
-        this->source.reset();
+    const bool sameVms = this->pullSource && this->pullSource->vmListDigest == own.vmListDigest;
+    if (!this->pullSource
+        || (sameVms && this->pullSource->catalogueVersion <= own.catalogueVersion)) {
+        this->pullSource.reset();
         this->pulling = false;
         return;
     }
     this->pulling = true;
-    const Heartbeat peer = *std::exchange(this->source, std::nullopt);
-    this->vmPulls = sameVms ? 0 : this->vmPulls + 1;
+    const Heartbeat peer = *std::exchange(this->pullSource, std::nullopt);
+    this->vmPullsInRow = sameVms ? 0 : this->vmPullsInRow + 1;
     this->calls.pull(
-        peer, own.catalogueVersion, this->vmStampToAsk(own),
-        [self = this->shared_from_this(), id = peer.id](const std::optional<Pulled> &pulled) {
+        peer, own.catalogueVersion, this->vmStampForPull(own),
+        [self = this->shared_from_this(), id = peer.id](const std::optional<PullResult> &pulled) {
             asio::post(self->strand, [self, id, pulled] {
                 if (pulled) {
-                    self->takePulled(id, *pulled);
+                    self->applyPulled(id, *pulled);
                 }
-                self->after(self->pullTimer, pullSpacing, &Sync::pull);
+                self->scheduleAfter(self->pullTimer, pullSpacing, &PlatformSync::pullFromSource);
             });
         });
 }
 
-std::uint64_t Sync::vmStampToAsk(const Heartbeat &own) const
+std::uint64_t PlatformSync::vmStampForPull(const Heartbeat &own) const
 {
-    if (this->vmPulls == 0) {
-        return own.vmStamp;
+    if (this->vmPullsInRow == 0) {
+        return own.vmListVersion;
     }
-    const bool whole = own.vmStamp <= stampWindow || this->vmPulls % wholeListEvery == 0;
-    return whole ? 0 : own.vmStamp - stampWindow;
+    const bool whole = own.vmListVersion <= stampWindow || this->vmPullsInRow % wholeListEvery == 0;
+    return whole ? 0 : own.vmListVersion - stampWindow;
 }
 
-void Sync::takePulled(const std::string &peer, const Pulled &pulled)
+void PlatformSync::applyPulled(const std::string &peer, const PullResult &pulled)
 {
     const std::size_t taken = this->node.catalogue.merge(pulled.entries);
     std::optional<TimePoint> confirmed;
     if (pulled.catalogueAge != neverConfirmed) {
         confirmed = this->node.clock.now() - Milliseconds{pulled.catalogueAge};
     }
-    this->node.catalogue.complete(pulled.completeTo, confirmed);
+    this->node.catalogue.markComplete(pulled.completeVersion, confirmed);
     const std::size_t lines = this->node.vms.merge(pulled.vms);
     if (lines > 0) {
-        this->putVmsInForce();
+        this->publishVms();
     }
     if (taken > 0) {
         logEvent(Event::CatalogueTaken, {{"from", peer}, {"entries", std::to_string(taken)}});
     }
     if (taken > 0 || lines > 0) {
-        this->beats->tellVersion();
+        this->membership->gossipVersion();
     }
 }
 
--- a/daemon/refusal.cpp
+++ b/daemon/refusal.cpp
@@ -8,7 +8,7 @@
 {
     const ErrorRow &row = errorRow(reason.kind);
     nlohmann::ordered_json error{{"kind", row.name},
-                                 {"message", row.sentence},
+                                 {"message", row.message},
                                  {"detail", reason.detail},
                                  {"ran", nameOf(row.ran)},
                                  {"scope", scope == RefusalScope::Request ? "request" : "attempt"},
@@ -19,7 +19,7 @@
                                                          nlohmann::json::error_handler_t::replace);
 }
 
-void refuse(net::HttpReply &reply, const Reason &reason, const std::string &requestId,
+void refuse(net::HttpResponder &reply, const Reason &reason, const std::string &requestId,
             RefusalScope scope)
 {
     const ErrorRow &row = errorRow(reason.kind);
--- a/daemon/refusal.h
+++ b/daemon/refusal.h
@@ -21,7 +21,7 @@
                                       RefusalScope scope = RefusalScope::Request);
 
 /// Answers with the one form of refusal.
-void refuse(net::HttpReply &reply, const Reason &reason, const std::string &requestId,
+void refuse(net::HttpResponder &reply, const Reason &reason, const std::string &requestId,
             RefusalScope scope = RefusalScope::Request);
 
 } // namespace plantainswitch
--- a/daemon/requestadmission.cpp
+++ b/daemon/requestadmission.cpp
@@ -5,7 +5,7 @@
 /// A request that waited or is retried was admitted by a view that may be old by now. Serving it
 /// by that view would send data to a place after the edit that forbade it is in force; admitting
 /// it again before each placement is enough, as nothing is dispatched without being placed.
-bool Passage::admitAgain()
+bool RequestHandler::readmit()
 {
     const auto view = this->node.catalogue.view();
     if (!view || view->version == this->admission.catalogueVersion) {
@@ -24,7 +24,7 @@
 
 /// While the slot was waited for, an edit may have forbidden the upstream's place, or the
 /// upstream may have begun to leave. The request is then placed anew.
-bool Passage::leftOnDispatch(const HeldSlot &held)
+bool RequestHandler::rerouteIfStale(const HeldSlot &held)
 {
     const auto view = this->node.catalogue.view();
     const auto upstream = this->node.upstreams.find(held.upstream.shortId);
@@ -32,17 +32,18 @@
     if (!leaving && (!view || view->version == this->admission.catalogueVersion)) {
         return false;
     }
-    if (!this->admitAgain()) {
+    if (!this->readmit()) {
         this->slots->release(held);
         return true;
     }
-    if (!leaving && permits(this->admission, held.upstream.vm.place)) {
+    if (!leaving && permits(this->admission, held.upstream.vm.dataCentre)) {
         return false;
     }
-    this->note("placed anew: " + held.upstream.vm.id + (leaving ? " is leaving" : " is forbidden"));
+    this->addStep("placed anew: " + held.upstream.vm.id
+                  + (leaving ? " is leaving" : " is forbidden"));
     this->slots->release(held);
-    this->need->avoid.push_back(held.upstream.shortId);
-    this->place();
+    this->slotRequirements->avoid.push_back(held.upstream.shortId);
+    this->acquireSlot();
     return true;
 }
 
--- a/daemon/requestclaim.cpp
+++ b/daemon/requestclaim.cpp
@@ -20,59 +20,59 @@
 
 } // namespace
 
-bool Passage::answerRepeat()
+bool RequestHandler::respondToDuplicate()
 {
     if (!this->request.nonIdempotent) {
         return false;
     }
-    if (this->request.keyIssued > latestIssued()) {
+    if (this->request.keyIssuedMilliseconds > latestIssued()) {
         this->refuseWith({ErrorKind::BadRequest, "x-key-issued lies in the future", {}});
         return true;
     }
     const OwnClaim own = this->node.ownClaims.newest(this->claimId());
-    if (own.state == OwnState::Unknown || own.state == OwnState::Abandoned) {
+    if (own.state == OwnClaimState::Unknown || own.state == OwnClaimState::Abandoned) {
         return false;
     }
-    this->answerTaken(own.claim, own);
+    this->respondFromHolder(own.claim, own);
     return true;
 }
 
-ClaimId Passage::claimId() const
+ClaimId RequestHandler::claimId() const
 {
     return claimIdOf(this->admission.workspace, this->request.idempotencyKey);
 }
 
-std::uint64_t Passage::contentHash(std::uint64_t seed) const
+std::uint64_t RequestHandler::contentHash(std::uint64_t seed) const
 {
     const std::string target =
         this->request.method + " " + this->request.service + " " + this->request.path;
     return hashOf(this->request.body, hashOf(target, seed));
 }
 
-void Passage::claimOrDispatch(HeldSlot held)
+void RequestHandler::claimOrDispatch(HeldSlot held)
 {
     if (!this->request.nonIdempotent || this->claim) {
         this->dispatch(std::move(held));
         return;
     }
     this->slot = std::move(held);
-    ClaimAsk ask{
+    ClaimRequest ask{
         {this->claimId(), this->node.identity, this->claims->nextNonce(), this->contentHash()},
-        this->request.keyIssued};
+        this->request.keyIssuedMilliseconds};
     this->node.ownClaims.begin(ask.claim, this->node.clock.now());
     this->claims->claim(ask, [self = this->shared_from_this(), ask](const ClaimReply &reply) {
-        self->takeVerdict(ask.claim, reply);
+        self->handleClaimReply(ask.claim, reply);
     });
 }
 
-void Passage::takeVerdict(const Claim &own, const ClaimReply &reply)
+void RequestHandler::handleClaimReply(const Claim &own, const ClaimReply &reply)
 {
     const TimePoint now = this->node.clock.now();
-    this->note(fmt::format("claim {:x}: {}", own.nonce, nameOf(reply.verdict)));
-    if (reply.verdict == ClaimVerdict::Granted && !this->gone) {
+    this->addStep(fmt::format("claim {:x}: {}", own.nonce, nameOf(reply.verdict)));
+    if (reply.verdict == ClaimVerdict::Granted && !this->callerGone) {
         // Only this claim's owner ever dispatches it, however late, and only if it has not said
         // that it gave up; a router that was paused here finds its claim as it left it.
-        if (this->node.ownClaims.start(own.nonce, now)) {
+        if (this->node.ownClaims.dispatch(own.nonce, now)) {
             this->claim = own;
             this->node.metrics.count(Counter::ClaimsGranted);
             HeldSlot held = std::move(*this->slot);
@@ -82,68 +82,71 @@
         }
     }
     this->releaseSlot();
-    this->node.ownClaims.end(own.nonce, OwnState::Abandoned, std::nullopt, now);
+    this->node.ownClaims.end(own.nonce, OwnClaimState::Abandoned, std::nullopt, now);
     if (reply.verdict == ClaimVerdict::Granted || reply.verdict == ClaimVerdict::Unavailable) {
         this->claims->release(own);
     }
-    if (this->gone) {
-        this->account();
+    if (this->callerGone) {
+        this->storeExplanation();
     } else if (reply.verdict == ClaimVerdict::Taken) {
-        this->claims->askOwner(reply.holder,
-                               [self = this->shared_from_this(), holder = reply.holder](
-                                   const OwnClaim &state) { self->answerTaken(holder, state); });
+        this->claims->queryOwner(reply.holder, [self = this->shared_from_this(),
+                                                holder = reply.holder](const OwnClaim &state) {
+            self->respondFromHolder(holder, state);
+        });
     } else if (reply.verdict == ClaimVerdict::Expired) {
         this->refuseWith({ErrorKind::KeyExpired, "", std::nullopt});
     } else {
-        logEvent(Event::ClaimUnavailable, {{"request", this->id}});
+        logEvent(Event::ClaimUnavailable, {{"request", this->requestId}});
         this->refuseWith({ErrorKind::ClaimUnavailable, "", std::nullopt});
     }
 }
 
-void Passage::answerTaken(const Claim &holder, const OwnClaim &own)
+void RequestHandler::respondFromHolder(const Claim &holder, const OwnClaim &own)
 {
     this->node.metrics.count(Counter::ClaimRepeats);
-    logEvent(Event::ClaimTaken, {{"request", this->id}, {"state", std::string(nameOf(own.state))}});
-    if (own.state == OwnState::Abandoned && holder.owner == this->node.identity) {
+    logEvent(Event::ClaimTaken,
+             {{"request", this->requestId}, {"state", std::string(nameOf(own.state))}});
+    if (own.state == OwnClaimState::Abandoned && holder.owner == this->node.identity) {
         this->claims->release(holder);
     }
-    if (holder.content != this->contentHash() || !own.answer) {
-        this->refuseWith(repeatReason(this->contentHash(), holder, own.state));
+    if (holder.content != this->contentHash() || !own.response) {
+        this->refuseWith(duplicateRequestReason(this->contentHash(), holder, own.state));
         return;
     }
-    this->note("answer kept from the first run");
-    this->reply->respond(own.answer->status,
-                         {{"content-type", own.answer->contentType},
-                          {"x-request-id", this->id},
-                          {"x-repeat", "true"}},
-                         own.answer->body);
-    this->account();
+    this->addStep("answer kept from the first run");
+    this->responder->respond(own.response->status,
+                             {{"content-type", own.response->contentType},
+                              {"x-request-id", this->requestId},
+                              {"x-repeat", "true"}},
+                             own.response->body);
+    this->storeExplanation();
 }
 
-void Passage::endClaim(OwnState state, std::optional<KeptAnswer> answer, bool notRun)
+void RequestHandler::endClaim(OwnClaimState state, std::optional<CachedResponse> answer,
+                              bool notRun)
 {
     if (!this->claim) {
         return;
     }
     this->node.ownClaims.end(this->claim->nonce, state, std::move(answer), this->node.clock.now(),
                              notRun);
-    if (state == OwnState::Abandoned) {
+    if (state == OwnClaimState::Abandoned) {
         this->claims->release(*this->claim);
     }
     this->claim.reset();
 }
 
-void Passage::endClaimRefused(Ran ran)
+void RequestHandler::endClaimAfterRefusal(ExecutionStatus ran)
 {
     switch (ran) {
-    case Ran::No:
-        this->endClaim(OwnState::Abandoned, std::nullopt, true);
+    case ExecutionStatus::No:
+        this->endClaim(OwnClaimState::Abandoned, std::nullopt, true);
         return;
-    case Ran::Yes:
-        this->endClaim(OwnState::Done);
+    case ExecutionStatus::Yes:
+        this->endClaim(OwnClaimState::Done);
         return;
-    case Ran::Unknown:
-        this->endClaim(OwnState::Lost);
+    case ExecutionStatus::Unknown:
+        this->endClaim(OwnClaimState::Lost);
         return;
     }
 }
--- a/daemon/requesthandler.cpp
+++ b/daemon/requesthandler.cpp
@@ -6,55 +6,56 @@
 
 namespace plantainswitch {
 
-Passage::Passage(Node &node, std::shared_ptr<Slots> slots, std::shared_ptr<ClaimService> claims,
-                 std::shared_ptr<SuspectSharing> suspects, net::HttpClient &client,
-                 std::shared_ptr<net::HttpReply> reply)
+RequestHandler::RequestHandler(Node &node, std::shared_ptr<SlotClient> slots,
+                               std::shared_ptr<ClaimService> claims,
+                               std::shared_ptr<SuspectBroadcaster> suspects,
+                               net::HttpClient &client, std::shared_ptr<net::HttpResponder> reply)
     : node(node)
     , slots(std::move(slots))
     , claims(std::move(claims))
     , suspects(std::move(suspects))
     , client(client)
-    , reply(std::move(reply))
-    , began(node.clock.now())
+    , responder(std::move(reply))
+    , startedAt(node.clock.now())
 {
     ++this->node.inFlight;
-    this->id =
-        fmt::format("{:08x}-{}", static_cast<std::uint32_t>(node.identity), node.nextRequest++);
+    this->requestId = fmt::format("{:08x}-{}", static_cast<std::uint32_t>(node.identity),
+                                  node.nextRequestNumber++);
 }
 
-Passage::~Passage()
+RequestHandler::~RequestHandler()
 {
-    if (this->limited) {
-        this->node.limits.end(*this->limited);
+    if (this->limitedWorkspace) {
+        this->node.limits.release(*this->limitedWorkspace);
     }
     --this->node.inFlight;
 }
 
-void Passage::run(net::HttpRequest http)
+void RequestHandler::run(net::HttpRequest http)
 {
     this->node.metrics.count(Counter::Requests);
-    this->node.retryBudget.earn();
-    this->explanation.requestId = this->id;
-    if (http.crowded) {
+    this->node.retryBudget.deposit();
+    this->explanation.requestId = this->requestId;
+    if (http.connectionLimitExceeded) {
         this->refuseWith({ErrorKind::Overloaded, "too many connections", std::nullopt});
         return;
     }
     Reason reason;
-    auto parsed = parseRequest(std::move(http), this->node.settings.largestBody, reason);
+    auto parsed = parseCallerRequest(std::move(http), this->node.settings.maxBodyBytes, reason);
     if (!parsed) {
         this->refuseWith(reason);
         return;
     }
     this->request = std::move(*parsed);
-    this->reply->onGone([weak = this->weak_from_this()] {
+    this->responder->onDisconnect([weak = this->weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->callerGone();
+            self->onCallerGone();
         }
     });
     this->admitCaller();
 }
 
-void Passage::admitCaller()
+void RequestHandler::admitCaller()
 {
     const auto view = this->node.catalogue.view();
     if (!view) {
@@ -70,24 +71,24 @@
     }
     this->admission = std::move(*admitted);
     const bool modelService = this->admission.serviceEntry.type == ServiceType::Model;
-    if (modelService != this->request.model) {
+    if (modelService != this->request.isModelCall) {
         this->refuseWith({ErrorKind::NotFound, "the service is of another type", std::nullopt});
         return;
     }
-    this->note(fmt::format("workspace {} class {} catalogue {} permitted {}",
-                           this->admission.workspace, this->admission.limits.dataClass,
-                           this->admission.catalogueVersion,
-                           fmt::join(this->admission.places, ",")));
-    if (this->answerRepeat()) {
+    this->addStep(fmt::format("workspace {} class {} catalogue {} permitted {}",
+                              this->admission.workspace, this->admission.workspaceEntry.dataClass,
+                              this->admission.catalogueVersion,
+                              fmt::join(this->admission.dataCentres, ",")));
+    if (this->respondToDuplicate()) {
         return;
     }
-    this->limit();
+    this->checkLimits();
 }
 
-void Passage::limit()
+void RequestHandler::checkLimits()
 {
-    const WorkspaceLimit limit{this->admission.limits.requestsPerSecond,
-                               this->admission.limits.maxInFlight};
+    const WorkspaceLimit limit{this->admission.workspaceEntry.requestsPerSecond,
+                               this->admission.workspaceEntry.maxInFlight};
     if (limit.requestsPerSecond != 0 || limit.maxInFlight != 0) {
         const WorkspaceId workspace = workspaceIdOf(this->admission.workspace);
         const auto refused = this->node.limits.admit(workspace, limit, this->node.fleetSize(),
@@ -100,59 +101,59 @@
                  refused->retryAfterSeconds});
             return;
         }
-        this->limited = workspace;
+        this->limitedWorkspace = workspace;
     }
-    this->place();
+    this->acquireSlot();
 }
 
-void Passage::refuseWith(const Reason &wanted)
+void RequestHandler::refuseWith(const Reason &wanted)
 {
     Reason reason = wanted;
-    if (this->mayHaveRun && errorRow(wanted.kind).ran == Ran::No) {
+    if (this->mayHaveRun && errorRow(wanted.kind).ran == ExecutionStatus::No) {
         // The last try did not run, but one before may have: "not run" would be false.
         reason = {ErrorKind::UpstreamFailed, "then " + std::string(errorRow(wanted.kind).name),
                   wanted.retryAfter};
     }
     this->node.metrics.countRefusal(reason.kind);
-    this->note("refused: " + std::string(errorRow(reason.kind).name) + " " + reason.detail);
-    logEvent(Event::RequestRefused, {{"request", this->id},
+    this->addStep("refused: " + std::string(errorRow(reason.kind).name) + " " + reason.detail);
+    logEvent(Event::RequestRefused, {{"request", this->requestId},
                                      {"kind", std::string(errorRow(reason.kind).name)},
                                      {"detail", reason.detail}});
     // The books are closed before the caller hears: its repeat may come at once, and would meet a
     // claim "in progress" of a request that has ended.
     const RefusalScope scope = this->refusalScope();
-    this->endClaimRefused(errorRow(reason.kind).ran);
-    this->account();
-    refuse(*this->reply, reason, this->id, scope);
+    this->endClaimAfterRefusal(errorRow(reason.kind).ran);
+    this->storeExplanation();
+    refuse(*this->responder, reason, this->requestId, scope);
 }
 
-RefusalScope Passage::refusalScope() const
+RefusalScope RequestHandler::refusalScope() const
 {
     // Before its claim is granted nobody here knows of earlier sendings with the same key.
     return this->request.nonIdempotent && !this->claim ? RefusalScope::Attempt
                                                        : RefusalScope::Request;
 }
 
-void Passage::callerGone()
+void RequestHandler::onCallerGone()
 {
-    this->gone = true;
+    this->callerGone = true;
     if (this->request.nonIdempotent) {
         // Half an order is worse than one whose caller left: it runs to its end, and the answer
         // is kept for the caller's repeat.
         return;
     }
     const std::lock_guard lock(this->exchangeMutex);
-    if (this->need) {
-        this->need->abandoned = true;
+    if (this->slotRequirements) {
+        this->slotRequirements->abandoned = true;
     }
     if (this->exchange) {
         this->exchange->cancel();
     }
 }
 
-void Passage::account()
+void RequestHandler::storeExplanation()
 {
-    this->node.explain.keep(std::move(this->explanation));
+    this->node.explain.record(std::move(this->explanation));
 }
 
 } // namespace plantainswitch
--- a/daemon/requestplacement.cpp
+++ b/daemon/requestplacement.cpp
@@ -4,21 +4,22 @@
 
 namespace plantainswitch {
 
-void Passage::place()
+void RequestHandler::acquireSlot()
 {
-    if (!this->admitAgain()) {
+    if (!this->readmit()) {
         return;
     }
     // The target counts as well as the body: calls of a plain service often have none, and all of
     // a workspace's would share the blame of one that crashes its upstream.
     const std::uint64_t fingerprint = this->contentHash(hashOf(this->admission.workspace));
-    if (this->node.suspects.blame(fingerprint, this->node.clock.now()) == Blame::Quarantined) {
+    if (this->node.suspects.statusOf(fingerprint, this->node.clock.now())
+        == SuspectStatus::Quarantined) {
         logEvent(Event::RequestQuarantined,
-                 {{"request", this->id}, {"workspace", this->admission.workspace}});
+                 {{"request", this->requestId}, {"workspace", this->admission.workspace}});
         this->refuseWith({ErrorKind::Quarantined, "", std::nullopt});
         return;
     }
-    const std::string &chat = this->request.chat.empty() ? this->id : this->request.chat;
+    const std::string &chat = this->request.chatId.empty() ? this->requestId : this->request.chatId;
     const std::uint64_t chatHash = mixHash(hashOf(this->admission.workspace), hashOf(chat));
     Reason reason;
     auto plan = planPlacement(this->admission, chatHash, this->node.upstreams,
@@ -27,27 +28,28 @@
         this->refuseWith(reason);
         return;
     }
-    auto next = std::make_shared<SlotNeed>();
+    auto next = std::make_shared<SlotRequirements>();
     next->plan = std::move(*plan);
-    next->chat = chatHash;
+    next->chatHash = chatHash;
     next->fingerprint = fingerprint;
     next->workspace = workspaceIdOf(this->admission.workspace);
-    next->weight = this->admission.limits.weight;
-    next->priority = this->admission.limits.priority;
+    next->weight = this->admission.workspaceEntry.weight;
+    next->priority = this->admission.workspaceEntry.priority;
     next->waitMilliseconds = this->admission.serviceEntry.queueMilliseconds;
-    if (this->need) {
-        next->avoid = this->need->avoid;
+    if (this->slotRequirements) {
+        next->avoid = this->slotRequirements->avoid;
         // Only after a failed attempt: a router that has just started hears of its peers late and
         // would take every chat to its own place.
-        preferLivePlaces(next->plan, *this->node.members.active());
+        preferLiveDataCentres(next->plan, *this->node.members.active());
     }
     {
         const std::lock_guard lock(this->exchangeMutex);
-        next->abandoned = this->gone && !this->request.nonIdempotent;
-        this->need = next;
+        next->abandoned = this->callerGone && !this->request.nonIdempotent;
+        this->slotRequirements = next;
     }
     this->slots->acquire(
-        next, [self = this->shared_from_this()](std::string step) { self->note(std::move(step)); },
+        next,
+        [self = this->shared_from_this()](std::string step) { self->addStep(std::move(step)); },
         [self = this->shared_from_this()](std::optional<HeldSlot> held, const Reason &why) {
             if (!held) {
                 self->refuseWith(why);
@@ -57,7 +59,7 @@
         });
 }
 
-void Passage::releaseSlot()
+void RequestHandler::releaseSlot()
 {
     if (this->slot) {
         this->slots->release(*this->slot);
--- a/daemon/requestresume.cpp
+++ b/daemon/requestresume.cpp
@@ -8,22 +8,22 @@
 
 } // namespace
 
-bool Passage::canResume(net::HttpEnd end) const
+bool RequestHandler::canResume(net::HttpOutcome end) const
 {
-    const bool early =
-        end == net::HttpEnd::Broken || (end == net::HttpEnd::Whole && !this->progress.done);
-    return early && this->started && !this->garbage && !this->gone && this->status == 200
-           && this->resumes < mostResumes;
+    const bool early = end == net::HttpOutcome::Broken
+                       || (end == net::HttpOutcome::Complete && !this->progress.done);
+    return early && this->streamStarted && !this->responseInvalid && !this->callerGone
+           && this->status == 200 && this->resumeCount < mostResumes;
 }
 
-void Passage::resumeStream()
+void RequestHandler::resumeStream()
 {
-    ++this->resumes;
-    this->note("resume after " + std::to_string(this->progress.events) + " events");
+    ++this->resumeCount;
+    this->addStep("resume after " + std::to_string(this->progress.events) + " events");
     // An event that came in part comes again whole.
     this->parser = {};
-    net::HttpCall call = this->callTo(this->slot->upstream);
-    call.headers["x-resume-attempt"] = this->attempt;
+    net::HttpCall call = this->buildUpstreamCall(this->slot->upstream);
+    call.headers["x-resume-attempt"] = this->attemptId;
     call.headers["x-resume-events"] = std::to_string(this->progress.events);
     call.freshConnection = true;
     call.body.clear();
@@ -31,18 +31,20 @@
     this->exchange = this->client.start(std::move(call), this->relayEvents());
 }
 
-void Passage::blameCrash(const Upstream &upstream)
+void RequestHandler::reportCrash(const Upstream &upstream)
 {
     this->mayHaveRun = true;
-    logEvent(Event::UpstreamCrashed, {{"request", this->id}, {"upstream", upstream.vm.id}});
-    this->suspects->crashed(upstream.shortId, this->need->fingerprint);
+    logEvent(Event::UpstreamCrashed, {{"request", this->requestId}, {"upstream", upstream.vm.id}});
+    this->suspects->reportCrash(upstream.shortId, this->slotRequirements->fingerprint);
 }
 
-void Passage::clearBlame()
+void RequestHandler::clearSuspicion()
 {
     const auto now = this->node.clock.now();
-    if (this->need && this->node.suspects.blame(this->need->fingerprint, now) == Blame::Suspect) {
-        this->suspects->cleared(this->need->fingerprint);
+    if (this->slotRequirements
+        && this->node.suspects.statusOf(this->slotRequirements->fingerprint, now)
+               == SuspectStatus::Suspected) {
+        this->suspects->reportCleared(this->slotRequirements->fingerprint);
     }
 }
 
--- a/daemon/requestservice.cpp
+++ b/daemon/requestservice.cpp
@@ -4,10 +4,10 @@
 
 namespace plantainswitch {
 
-RequestPath::RequestPath(Node &node, std::shared_ptr<Slots> slots,
-                         std::shared_ptr<ClaimService> claims,
-                         std::shared_ptr<SuspectSharing> suspects,
-                         std::vector<net::HttpClient *> clients)
+RequestService::RequestService(Node &node, std::shared_ptr<SlotClient> slots,
+                               std::shared_ptr<ClaimService> claims,
+                               std::shared_ptr<SuspectBroadcaster> suspects,
+                               std::vector<net::HttpClient *> clients)
     : node(node)
     , slots(std::move(slots))
     , claims(std::move(claims))
@@ -15,11 +15,11 @@
     , clients(std::move(clients))
 {}
 
-void RequestPath::serve(net::HttpRequest request, std::shared_ptr<net::HttpReply> reply)
+void RequestService::serve(net::HttpRequest request, std::shared_ptr<net::HttpResponder> reply)
 {
     net::HttpClient &client = *this->clients[this->nextClient++ % this->clients.size()];
-    auto passage = std::make_shared<Passage>(this->node, this->slots, this->claims, this->suspects,
-                                             client, std::move(reply));
+    auto passage = std::make_shared<RequestHandler>(this->node, this->slots, this->claims,
+                                                    this->suspects, client, std::move(reply));
     passage->run(std::move(request));
 }
 
--- a/daemon/requestservice.h
+++ b/daemon/requestservice.h
@@ -15,20 +15,22 @@
 namespace plantainswitch {
 
 /// The way of a request: parse, admit, place, claim if non-idempotent, dispatch, relay, account.
-class RequestPath
+class RequestService
 {
 public:
-    RequestPath(Node &node, std::shared_ptr<Slots> slots, std::shared_ptr<ClaimService> claims,
-                std::shared_ptr<SuspectSharing> suspects, std::vector<net::HttpClient *> clients);
+    RequestService(Node &node, std::shared_ptr<SlotClient> slots,
+                   std::shared_ptr<ClaimService> claims,
+                   std::shared_ptr<SuspectBroadcaster> suspects,
+                   std::vector<net::HttpClient *> clients);
 
     /// Serves one request of a caller.
-    void serve(net::HttpRequest request, std::shared_ptr<net::HttpReply> reply);
+    void serve(net::HttpRequest request, std::shared_ptr<net::HttpResponder> reply);
 
 private:
     Node &node;
-    std::shared_ptr<Slots> slots;
+    std::shared_ptr<SlotClient> slots;
     std::shared_ptr<ClaimService> claims;
-    std::shared_ptr<SuspectSharing> suspects;
+    std::shared_ptr<SuspectBroadcaster> suspects;
     std::vector<net::HttpClient *> clients;
     std::atomic<std::size_t> nextClient = 0;
 };
--- a/daemon/router.cpp
+++ b/daemon/router.cpp
@@ -19,50 +19,51 @@
 
 } // namespace
 
-Router::Router(Settings settings, const Clock &clock, PeerLoss peerLoss)
+Router::Router(Settings settings, const Clock &clock, PeerDropFilter peerLoss)
     : node(std::move(settings), clock,
            static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch().count()))
     , signals(context, SIGTERM, SIGINT)
     , drainTimer(context)
     , platformHttp(context)
     , claimHttp(context)
-    , link(std::make_shared<PeerLink>(context, node))
-    , beats(std::make_shared<Beats>(context, node, link))
-    , notices(std::make_shared<Notices>(node, link))
-    , keeperService(std::make_shared<KeeperService>(node, link))
+    , link(std::make_shared<PeerTransport>(context, node))
+    , membership(std::make_shared<MembershipService>(context, node, link))
+    , leavingGossip(std::make_shared<LeavingGossip>(node, link))
+    , keeperService(std::make_shared<CoordinatorService>(node, link))
     , shardSync(std::make_shared<ShardSync>(node, link))
     , limits(std::make_shared<LimitService>(node, link))
     , orders(std::make_shared<OrderService>(context, node, platformHttp))
-    , calls(node)
-    , sync(std::make_shared<Sync>(context, node, platformHttp, beats, calls))
+    , peerCalls(node)
+    , platformSync(
+          std::make_shared<PlatformSync>(context, node, platformHttp, membership, peerCalls))
     , statusWriter(std::make_shared<StatusWriter>(context, node, platformHttp))
-    , slots(std::make_shared<Slots>(context, node, link, keeperService))
-    , claims(std::make_shared<ClaimService>(context, node, link, calls, claimHttp))
-    , suspects(std::make_shared<SuspectSharing>(node, link))
+    , slots(std::make_shared<SlotClient>(context, node, link, keeperService))
+    , claims(std::make_shared<ClaimService>(context, node, link, peerCalls, claimHttp))
+    , suspects(std::make_shared<SuspectBroadcaster>(node, link))
 {
-    this->node.peerLoss = std::move(peerLoss);
+    this->node.dropPeerTraffic = std::move(peerLoss);
     std::vector<net::HttpClient *> clients;
     for (std::uint32_t index = 0; index < this->node.settings.workers; ++index) {
         this->upstreamHttp.push_back(std::make_unique<net::HttpClient>(this->context));
         clients.push_back(this->upstreamHttp.back().get());
     }
-    this->path = std::make_unique<RequestPath>(this->node, this->slots, this->claims,
-                                               this->suspects, clients);
+    this->requestService = std::make_unique<RequestService>(this->node, this->slots, this->claims,
+                                                            this->suspects, clients);
 }
 
 Router::~Router()
 {
     // Requests that wait here own the parts they wait at; a router that ends with some in flight
     // would otherwise keep itself, and its sockets, for ever.
-    this->slots->forgetAsks();
-    this->keeperService->forgetWaiters();
-    this->claims->forgetAsks();
-    this->link->forgetHandlers();
+    this->slots->dropPendingRequests();
+    this->keeperService->dropWaiters();
+    this->claims->dropPendingClaims();
+    this->link->shutdown();
 }
 
 void Router::run()
 {
-    if (!this->calls.start()) {
+    if (!this->peerCalls.start()) {
         throw std::system_error(std::make_error_code(std::errc::address_in_use),
                                 "peer calls at " + toText(this->node.settings.peerCalls));
     }
@@ -73,14 +74,15 @@
     this->suspects->start();
     this->limits->start();
     this->orders->start();
-    this->beats->start([sync = std::weak_ptr<Sync>(this->sync)](const Heartbeat &peer) {
-        if (const auto target = sync.lock()) {
-            target->hearOf(peer);
-        }
-    });
-    this->notices->start();
+    this->membership->start(
+        [sync = std::weak_ptr<PlatformSync>(this->platformSync)](const Heartbeat &peer) {
+            if (const auto target = sync.lock()) {
+                target->pullFrom(peer);
+            }
+        });
+    this->leavingGossip->start();
     this->link->start();
-    this->sync->start();
+    this->platformSync->start();
     this->statusWriter->start();
     this->openServers();
     this->awaitSignal();
@@ -93,7 +95,7 @@
     for (std::thread &worker : workers) {
         worker.join();
     }
-    this->calls.stop();
+    this->peerCalls.stop();
     logEvent(Event::Stopped, {});
 }
 
@@ -105,17 +107,17 @@
 void Router::kill()
 {
     this->context.stop();
-    this->pause.end();
+    this->workerPause.end();
 }
 
-void Router::freeze()
+void Router::pauseWorkers()
 {
-    this->pause.begin(this->context, this->node.settings.workers);
+    this->workerPause.begin(this->context, this->node.settings.workers);
 }
 
-void Router::thaw()
+void Router::resumeWorkers()
 {
-    this->pause.end();
+    this->workerPause.end();
 }
 
 void Router::openServers()
@@ -126,13 +128,13 @@
     this->callers = std::make_unique<net::HttpServer>(
         this->context,
         net::HttpServerOptions{settings.callers.host, settings.callers.port,
-                               2 * std::size_t{settings.largestBody}},
-        [this](net::HttpRequest request, std::shared_ptr<net::HttpReply> reply) {
-            this->path->serve(std::move(request), std::move(reply));
+                               2 * std::size_t{settings.maxBodyBytes}},
+        [this](net::HttpRequest request, std::shared_ptr<net::HttpResponder> reply) {
+            this->requestService->serve(std::move(request), std::move(reply));
         });
     this->operators = std::make_unique<net::HttpServer>(
         this->context, net::HttpServerOptions{settings.operators.host, settings.operators.port},
-        [this](const net::HttpRequest &request, const std::shared_ptr<net::HttpReply> &reply) {
+        [this](const net::HttpRequest &request, const std::shared_ptr<net::HttpResponder> &reply) {
             serveOperator(this->node, request, *reply);
         });
     this->callers->open();
@@ -157,12 +159,12 @@
         return;
     }
     logEvent(Event::Stopping, {{"inFlight", std::to_string(this->node.inFlight)}});
-    this->beats->beat();
+    this->membership->announceState();
     this->shardSync->handOver();
-    this->callers->closeAfterAnswers();
-    this->stopBegan = this->node.clock.now();
+    this->callers->closeAfterResponses();
+    this->stopStartedAt = this->node.clock.now();
     this->afterDelay(std::chrono::milliseconds(this->node.settings.lingerMilliseconds),
-                     &Router::awaitQuiet);
+                     &Router::awaitQuietPeriod);
 }
 
 void Router::afterDelay(std::chrono::milliseconds delay, void (Router::*next)())
@@ -175,13 +177,13 @@
     });
 }
 
-void Router::awaitQuiet()
+void Router::awaitQuietPeriod()
 {
     const TimePoint now = this->node.clock.now();
     const std::chrono::milliseconds linger(this->node.settings.lingerMilliseconds);
-    const bool quiet = now - this->callers->lastRequest() >= quietPeriod;
-    if (!quiet && now - this->stopBegan < mostLingers * linger) {
-        this->afterDelay(drainPoll, &Router::awaitQuiet);
+    const bool quiet = now - this->callers->lastRequestTime() >= quietPeriod;
+    if (!quiet && now - this->stopStartedAt < mostLingers * linger) {
+        this->afterDelay(drainPoll, &Router::awaitQuietPeriod);
         return;
     }
     logEvent(Event::StopDraining, {{"inFlight", std::to_string(this->node.inFlight)}});
@@ -192,13 +194,14 @@
 
 void Router::drain()
 {
-    const bool busy = this->node.inFlight > 0 || this->callers->unanswered() > 0
-                      || this->node.clock.now() - this->callers->lastRequest() < drainPoll;
+    const bool busy = this->node.inFlight > 0 || this->callers->pendingResponses() > 0
+                      || this->node.clock.now() - this->callers->lastRequestTime() < drainPoll;
     if (busy) {
         this->afterDelay(drainPoll, &Router::drain);
         return;
     }
-    this->slots->flush([this] { this->beats->farewell([this] { this->context.stop(); }); });
+    this->slots->flush(
+        [this] { this->membership->announceLeave([this] { this->context.stop(); }); });
 }
 
 } // namespace plantainswitch
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -32,7 +32,7 @@
 {
 public:
     /// \param peerLoss for tests: what of the traffic to peers gets lost
-    Router(Settings settings, const Clock &clock, PeerLoss peerLoss = {});
+    Router(Settings settings, const Clock &clock, PeerDropFilter peerLoss = {});
     ~Router();
     Router(const Router &) = delete;
     Router &operator=(const Router &) = delete;
@@ -44,14 +44,14 @@
     /// Leaves at once, as a crash would, for tests of failures. Safe from any thread.
     void kill();
     /// Pauses all workers, as the pause of a VM does, for tests of failures; sockets stay open.
-    void freeze();
-    void thaw();
+    void pauseWorkers();
+    void resumeWorkers();
 
 private:
     void openServers();
     void awaitSignal();
     void beginStop();
-    void awaitQuiet();
+    void awaitQuietPeriod();
     void drain();
     void afterDelay(std::chrono::milliseconds delay, void (Router::*next)());
 
@@ -59,27 +59,27 @@
     /// Goes before the node: work that never ran dies with it, and requests in that work still
     /// count themselves out of the node's tables.
     asio::io_context context;
-    WorkerPause pause;
+    WorkerPause workerPause;
     asio::signal_set signals;
     asio::steady_timer drainTimer;
-    TimePoint stopBegan;
+    TimePoint stopStartedAt;
     net::HttpClient platformHttp;
     net::HttpClient claimHttp;
     std::vector<std::unique_ptr<net::HttpClient>> upstreamHttp;
-    std::shared_ptr<PeerLink> link;
-    std::shared_ptr<Beats> beats;
-    std::shared_ptr<Notices> notices;
-    std::shared_ptr<KeeperService> keeperService;
+    std::shared_ptr<PeerTransport> link;
+    std::shared_ptr<MembershipService> membership;
+    std::shared_ptr<LeavingGossip> leavingGossip;
+    std::shared_ptr<CoordinatorService> keeperService;
     std::shared_ptr<ShardSync> shardSync;
     std::shared_ptr<LimitService> limits;
     std::shared_ptr<OrderService> orders;
-    PeerCalls calls;
-    std::shared_ptr<Sync> sync;
+    PeerCalls peerCalls;
+    std::shared_ptr<PlatformSync> platformSync;
     std::shared_ptr<StatusWriter> statusWriter;
-    std::shared_ptr<Slots> slots;
+    std::shared_ptr<SlotClient> slots;
     std::shared_ptr<ClaimService> claims;
-    std::shared_ptr<SuspectSharing> suspects;
-    std::unique_ptr<RequestPath> path;
+    std::shared_ptr<SuspectBroadcaster> suspects;
+    std::unique_ptr<RequestService> requestService;
     std::unique_ptr<net::HttpServer> callers;
     std::unique_ptr<net::HttpServer> operators;
 };
--- a/daemon/settings.cpp
+++ b/daemon/settings.cpp
@@ -75,13 +75,13 @@
     Settings settings;
     FieldReader fields(*json, "", faults);
     fields.read("id", settings.id, true);
-    fields.read("place", settings.place, true);
+    fields.read("place", settings.dataCentre, true);
     fields.read("workers", settings.workers, 1, mostWorkers);
     settings.callers = readEndpoint(fields, "callers", faults);
     settings.operators = readEndpoint(fields, "operators", faults);
     readPeer(fields, settings, faults);
     readPlatform(fields, settings, faults);
-    fields.read("largestBody", settings.largestBody, leastLargestBody, mostLargestBody);
+    fields.read("largestBody", settings.maxBodyBytes, leastLargestBody, mostLargestBody);
     fields.read("lingerMilliseconds", settings.lingerMilliseconds, 0, mostLingerMilliseconds);
     settings.log = readLogSettings(fields, faults);
     fields.finish();
--- a/daemon/settings.h
+++ b/daemon/settings.h
@@ -16,7 +16,7 @@
 struct Settings
 {
     std::string id;
-    std::string place;
+    std::string dataCentre;
     std::uint32_t workers = 4;
     Endpoint callers;
     Endpoint operators;
@@ -26,7 +26,7 @@
     std::vector<Endpoint> seeds;
     /// Base address of the platform's object API.
     std::string platformUrl;
-    std::uint32_t largestBody = 8 << 20;
+    std::uint32_t maxBodyBytes = 8 << 20;
     /// Time after a stop was asked for during which the balancer is expected to notice.
     std::uint32_t lingerMilliseconds = 3000;
     LogSettings log;
--- a/daemon/shardsync.cpp
+++ b/daemon/shardsync.cpp
@@ -14,38 +14,39 @@
 
 void ShardSync::start()
 {
-    this->link->handle<SlotDigest>([self = this->shared_from_this()](
-                                       std::uint64_t sender, const Endpoint &from, PeerBody body) {
+    this->link->setHandler<SlotDigest>([self = this->shared_from_this()](std::uint64_t sender,
+                                                                         const Endpoint &from,
+                                                                         PeerBody body) {
         const auto &digest = std::get<SlotDigest>(body);
-        if (self->node.keeper.differs(sender, digest, self->node.clock.now())) {
+        if (self->node.keeper.checkDigest(sender, digest, self->node.clock.now())) {
             logEvent(Event::SlotsDiffer, {{"from", toText(from)}});
-            self->link->send(from, SlotListAsk{digest.shard});
+            self->link->send(from, SlotListRequest{digest.shard});
         }
     });
-    this->link->handle<SlotList>(
+    this->link->setHandler<SlotList>(
         [self = this->shared_from_this()](std::uint64_t sender, const Endpoint &, PeerBody body) {
-            self->node.keeper.takeList(sender, std::get<SlotList>(body), self->node.clock.now());
+            self->node.keeper.receiveList(sender, std::get<SlotList>(body), self->node.clock.now());
         });
-    this->link->handle<ShardSummary>(
+    this->link->setHandler<ShardSummary>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &, PeerBody body) {
-            self->node.keeper.takeSummary(std::get<ShardSummary>(body), self->node.clock.now());
+            self->node.keeper.receiveSummary(std::get<ShardSummary>(body), self->node.clock.now());
         });
-    this->link->handle<ChatHints>(
+    this->link->setHandler<ChatHints>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &from, PeerBody body) {
-            self->node.keeper.takeHints(std::get<ChatHints>(body), from, self->node.clock.now());
+            self->node.keeper.receiveHints(std::get<ChatHints>(body), from, self->node.clock.now());
         });
-    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->schedule(); });
+    asio::post(this->link->executor(), [self = this->shared_from_this()] { self->tick(); });
 }
 
-void ShardSync::schedule()
+void ShardSync::tick()
 {
     this->sendSummaries();
-    this->send(this->node.keeper.hints(this->node.settings.peerDatagrams,
-                                       *this->node.members.active(), this->node.clock.now()));
+    this->sendHints(this->node.keeper.takeHints(
+        this->node.settings.peerDatagrams, *this->node.members.active(), this->node.clock.now()));
     this->timer.expires_after(summaryPeriod);
     this->timer.async_wait([self = this->shared_from_this()](const asio::error_code &error) {
         if (!error) {
-            self->schedule();
+            self->tick();
         }
     });
 }
@@ -64,8 +65,8 @@
         Shard shard = summary.shard;
         const std::uint32_t shards = catalogue->services.at(summary.shard.service).shards;
         for (shard.number = 0; shard.number < shards; ++shard.number) {
-            if (const auto keeper = keeperOf(shard, *active)) {
-                targets.insert(keeper->datagrams);
+            if (const auto keeper = coordinatorOf(shard, *active)) {
+                targets.insert(keeper->datagramEndpoint);
             }
         }
         targets.erase(this->node.settings.peerDatagrams);
@@ -75,7 +76,7 @@
     }
 }
 
-void ShardSync::send(const std::vector<HintSending> &sendings)
+void ShardSync::sendHints(const std::vector<AddressedHints> &sendings)
 {
     for (const auto &[to, hints] : sendings) {
         this->link->send(to, hints);
@@ -88,13 +89,13 @@
     std::erase_if(others,
                   [this](const Heartbeat &member) { return member.id == this->node.settings.id; });
     std::size_t slots = 0;
-    for (const SlotList &list : this->node.keeper.lists()) {
-        if (const auto next = keeperOf(list.shard, others)) {
+    for (const SlotList &list : this->node.keeper.slotLists()) {
+        if (const auto next = coordinatorOf(list.shard, others)) {
             slots += list.slots.size();
-            this->link->send(next->datagrams, list);
+            this->link->send(next->datagramEndpoint, list);
         }
     }
-    this->send(this->node.keeper.handOverHints(others));
+    this->sendHints(this->node.keeper.handOverHints(others));
     logEvent(Event::ShardsHandedOver, {{"slots", std::to_string(slots)}});
 }
 
--- a/daemon/shardsync.h
+++ b/daemon/shardsync.h
@@ -14,7 +14,7 @@
 class ShardSync : public std::enable_shared_from_this<ShardSync>
 {
 public:
-    ShardSync(Node &node, std::shared_ptr<PeerLink> link)
+    ShardSync(Node &node, std::shared_ptr<PeerTransport> link)
         : node(node)
         , link(std::move(link))
         , timer(this->link->executor())
@@ -25,12 +25,12 @@
     void handOver();
 
 private:
-    void schedule();
+    void tick();
     void sendSummaries();
-    void send(const std::vector<HintSending> &sendings);
+    void sendHints(const std::vector<AddressedHints> &sendings);
 
     Node &node;
-    std::shared_ptr<PeerLink> link;
+    std::shared_ptr<PeerTransport> link;
     asio::steady_timer timer;
 };
 
--- a/daemon/slotclient.cpp
+++ b/daemon/slotclient.cpp
@@ -26,7 +26,7 @@
 
 std::string describe(const Shard &shard)
 {
-    return shard.service + "@" + shard.place + "#" + std::to_string(shard.number);
+    return shard.service + "@" + shard.dataCentre + "#" + std::to_string(shard.number);
 }
 
 Reason reasonOf(const std::optional<SlotReply> &reply)
@@ -46,22 +46,23 @@
 
 } // namespace
 
-Slots::Slots(asio::io_context & /*context*/, Node &node, std::shared_ptr<PeerLink> link,
-             std::shared_ptr<KeeperService> keeper)
+SlotClient::SlotClient(asio::io_context & /*context*/, Node &node,
+                       std::shared_ptr<PeerTransport> link,
+                       std::shared_ptr<CoordinatorService> keeper)
     : node(node)
     , link(std::move(link))
     , keeper(std::move(keeper))
-    , held(std::make_shared<HeldSlots>(node, this->link))
+    , heldSlots(std::make_shared<HeldSlots>(node, this->link))
     , releaseTimer(this->link->executor())
 {}
 
-void Slots::start()
+void SlotClient::start()
 {
-    this->link->handle<SlotReply>(
+    this->link->setHandler<SlotReply>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &, PeerBody body) {
-            self->takeReply(std::get<SlotReply>(body));
+            self->handleReply(std::get<SlotReply>(body));
         });
-    this->held->start([weak = this->weak_from_this()](ShardId shard) {
+    this->heldSlots->start([weak = this->weak_from_this()](ShardId shard) {
         const auto self = weak.lock();
         return self ? self->lowestPending(shard) : 0;
     });
@@ -69,82 +70,83 @@
                [self = this->shared_from_this()] { self->scheduleReleases(); });
 }
 
-void Slots::acquire(const std::shared_ptr<const SlotNeed> &need, Note note, Done done)
+void SlotClient::acquire(const std::shared_ptr<const SlotRequirements> &need, StepCallback note,
+                         AcquireCallback done)
 {
     auto way = std::make_shared<Acquisition>();
-    way->need = need;
-    way->note = std::move(note);
-    way->done = std::move(done);
-    way->last = {ErrorKind::UpstreamUnreachable, "no shard could be asked", std::nullopt};
+    way->requirements = need;
+    way->addStep = std::move(note);
+    way->onDone = std::move(done);
+    way->lastRefusal = {ErrorKind::UpstreamUnreachable, "no shard could be asked", std::nullopt};
     this->tryShard(way);
 }
 
-void Slots::tryShard(const AcquisitionPointer &way)
+void SlotClient::tryShard(const AcquisitionPointer &way)
 {
-    const auto &shards = way->need->plan.shards;
-    if (way->shard >= shards.size()) {
-        this->tryElsewhere(way);
+    const auto &shards = way->requirements->plan.shards;
+    if (way->shardIndex >= shards.size()) {
+        this->tryFallback(way);
         return;
     }
-    const std::vector<Heartbeat> keepers = this->keepersToAsk(shards[way->shard]);
-    if (way->keeper < keepers.size()) {
-        this->askKeeper(way, keepers[way->keeper]);
+    const std::vector<Heartbeat> keepers = this->keepersToAsk(shards[way->shardIndex]);
+    if (way->keeperIndex < keepers.size()) {
+        this->askKeeper(way, keepers[way->keeperIndex]);
         return;
     }
-    way->keeper = 0;
-    way->shard = way->waiting ? shards.size() : way->shard + 1;
+    way->keeperIndex = 0;
+    way->shardIndex = way->waiting ? shards.size() : way->shardIndex + 1;
     this->tryShard(way);
 }
 
 /// No shard of the plan has given a slot.
-void Slots::tryElsewhere(const AcquisitionPointer &way)
+void SlotClient::tryFallback(const AcquisitionPointer &way)
 {
-    const auto &shards = way->need->plan.shards;
-    const bool full = way->last.kind == ErrorKind::Overloaded;
-    if (full && !way->waiting && way->need->waitMilliseconds != 0) {
+    const auto &shards = way->requirements->plan.shards;
+    const bool full = way->lastRefusal.kind == ErrorKind::Overloaded;
+    if (full && !way->waiting && way->requirements->waitMilliseconds != 0) {
         way->waiting = true;
-        way->shard = 0;
+        way->shardIndex = 0;
         this->tryShard(way);
         return;
     }
     if (way->answered || shards.empty()) {
-        way->done(std::nullopt, std::move(way->last));
+        way->onDone(std::nullopt, std::move(way->lastRefusal));
         return;
     }
     // No keeper of any permitted shard answers. This router's own count is a safe last resort: a
     // careful keeper's share of the bound, on the same permitted shard.
     way->answered = true;
-    way->shard = 0;
+    way->shardIndex = 0;
     logEvent(Event::KeeperReplaced, {{"shard", describe(shards.front())}});
     this->askKeeper(way, this->node.heartbeat());
 }
 
-std::vector<Heartbeat> Slots::keepersToAsk(const Shard &shard)
+std::vector<Heartbeat> SlotClient::keepersToAsk(const Shard &shard)
 {
-    std::vector<Heartbeat> keepers = keepersOf(shard, *this->node.members.active());
+    std::vector<Heartbeat> keepers = coordinatorsOf(shard, *this->node.members.active());
     if (keepers.size() > keepersAsked) {
         keepers.resize(keepersAsked);
     }
     const TimePoint now = this->node.clock.now();
     const RankedLock lock(this->mutex);
     std::stable_partition(keepers.begin(), keepers.end(), [this, now](const Heartbeat &keeper) {
-        const auto found = this->silentUntil.find(keeper.id);
-        return found == this->silentUntil.end() || found->second <= now;
+        const auto found = this->unresponsiveUntil.find(keeper.id);
+        return found == this->unresponsiveUntil.end() || found->second <= now;
     });
     return keepers;
 }
 
-void Slots::markSilent(const std::string &keeper)
+void SlotClient::markUnresponsive(const std::string &keeper)
 {
     const RankedLock lock(this->mutex);
-    this->silentUntil[keeper] = this->node.clock.now() + silencePenalty;
+    this->unresponsiveUntil[keeper] = this->node.clock.now() + silencePenalty;
 }
 
-void Slots::askKeeper(const AcquisitionPointer &way, const Heartbeat &keeper)
+void SlotClient::askKeeper(const AcquisitionPointer &way, const Heartbeat &keeper)
 {
-    const SlotNeed &need = *way->need;
-    SlotAsk ask{this->nextAsk++, need.plan.shards[way->shard], need.chat, need.fingerprint,
-                need.avoid};
+    const SlotRequirements &need = *way->requirements;
+    SlotRequest ask{this->nextAsk++, need.plan.shards[way->shardIndex], need.chatHash,
+                    need.fingerprint, need.avoid};
     if (way->waiting) {
         ask.waitMilliseconds = need.waitMilliseconds;
         ask.workspace = need.workspace;
@@ -153,90 +155,91 @@
     }
     this->node.metrics.count(Counter::SlotAsks);
     auto onReply = [self = this->shared_from_this(), way, keeper,
-                    askId = ask.askId](const std::optional<SlotReply> &reply) {
-        self->takeOutcome(way, keeper, askId, reply);
+                    askId = ask.requestId](const std::optional<SlotReply> &reply) {
+        self->handleOutcome(way, keeper, askId, reply);
     };
     if (keeper.id == this->node.settings.id && !way->waiting) {
         this->keeper->ask(this->node.identity, ask, onReply);
     } else {
-        this->ask(keeper, std::move(ask), way->need, std::move(onReply));
+        this->ask(keeper, std::move(ask), way->requirements, std::move(onReply));
     }
 }
 
-void Slots::takeOutcome(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
-                        const std::optional<SlotReply> &reply)
+void SlotClient::handleOutcome(const AcquisitionPointer &way, const Heartbeat &keeper,
+                               std::uint32_t askId, const std::optional<SlotReply> &reply)
 {
-    const Shard &asked = way->need->plan.shards[way->shard];
-    way->note("shard " + describe(asked) + " keeper " + keeper.id + ": "
-              + (reply ? std::string(nameOf(reply->verdict)) : std::string("silent")));
+    const Shard &asked = way->requirements->plan.shards[way->shardIndex];
+    way->addStep("shard " + describe(asked) + " keeper " + keeper.id + ": "
+                 + (reply ? std::string(nameOf(reply->verdict)) : std::string("silent")));
     if (!reply) {
         logEvent(Event::KeeperSilent, {{"keeper", keeper.id}, {"shard", describe(asked)}});
-        this->markSilent(keeper.id);
-        ++way->keeper;
+        this->markUnresponsive(keeper.id);
+        ++way->keeperIndex;
         this->tryShard(way);
         return;
     }
     way->answered = true;
     if (reply->verdict == SlotVerdict::Granted
-        && this->takeGrant(way, keeper, askId, reply->upstream)) {
+        && this->acceptGrant(way, keeper, askId, reply->upstream)) {
         return;
     }
-    way->last = reasonOf(reply);
-    way->keeper = 0;
-    way->shard = way->waiting ? way->need->plan.shards.size() : way->shard + 1;
+    way->lastRefusal = reasonOf(reply);
+    way->keeperIndex = 0;
+    way->shardIndex = way->waiting ? way->requirements->plan.shards.size() : way->shardIndex + 1;
     this->tryShard(way);
 }
 
-bool Slots::takeGrant(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
-                      UpstreamId upstreamId)
+bool SlotClient::acceptGrant(const AcquisitionPointer &way, const Heartbeat &keeper,
+                             std::uint32_t askId, UpstreamId upstreamId)
 {
-    const Shard &asked = way->need->plan.shards[way->shard];
+    const Shard &asked = way->requirements->plan.shards[way->shardIndex];
     HeldSlot slot{keeper, asked, askId, {}};
-    this->held->hold(asked, askId, upstreamId);
+    this->heldSlots->add(asked, askId, upstreamId);
     const auto upstream = this->node.upstreams.find(upstreamId);
     // The keeper's list of VMs may be ahead of ours or behind: what we don't know to be
     // in the asked place is never used, or a request could leave its permitted places.
-    if (!upstream || upstream->vm.place != asked.place || upstream->vm.service != asked.service
-        || upstream->vm.leaving) {
+    if (!upstream || upstream->vm.dataCentre != asked.dataCentre
+        || upstream->vm.service != asked.service || upstream->vm.leaving) {
         this->release(slot);
         return false;
     }
     slot.upstream = *upstream;
-    way->done(std::move(slot), {});
+    way->onDone(std::move(slot), {});
     return true;
 }
 
-void Slots::ask(const Heartbeat &keeper, SlotAsk ask, std::shared_ptr<const SlotNeed> need,
-                ReplyHandler done)
+void SlotClient::ask(const Heartbeat &keeper, SlotRequest ask,
+                     std::shared_ptr<const SlotRequirements> need, ReplyCallback done)
 {
     const bool local = keeper.id == this->node.settings.id;
-    asio::post(this->link->executor(), [self = this->shared_from_this(), to = keeper.datagrams,
-                                        ask = std::move(ask), need = std::move(need), local,
-                                        done = std::move(done)]() mutable {
-        const std::uint32_t askId = ask.askId;
-        PendingAsk entry{to, std::move(ask), std::move(done), nullptr, 0, std::move(need), local};
-        entry.timer = std::make_unique<asio::steady_timer>(self->link->executor());
-        self->pending.emplace(askId, std::move(entry));
-        self->sendAsk(askId);
-    });
+    asio::post(this->link->executor(),
+               [self = this->shared_from_this(), to = keeper.datagramEndpoint, ask = std::move(ask),
+                need = std::move(need), local, done = std::move(done)]() mutable {
+                   const std::uint32_t askId = ask.requestId;
+                   PendingRequest entry{
+                       to, std::move(ask), std::move(done), nullptr, 0, std::move(need), local};
+                   entry.timer = std::make_unique<asio::steady_timer>(self->link->executor());
+                   self->pendingRequests.emplace(askId, std::move(entry));
+                   self->sendAsk(askId);
+               });
 }
 
-void Slots::sendAsk(std::uint32_t askId)
+void SlotClient::sendAsk(std::uint32_t askId)
 {
-    const auto found = this->pending.find(askId);
-    if (found == this->pending.end()) {
+    const auto found = this->pendingRequests.find(askId);
+    if (found == this->pendingRequests.end()) {
         return;
     }
-    PendingAsk &entry = found->second;
-    if (++entry.sends > askSends || entry.need->abandoned) {
-        this->giveUp(askId);
+    PendingRequest &entry = found->second;
+    if (++entry.sendCount > askSends || entry.requirements->abandoned) {
+        this->timeOutRequest(askId);
         return;
     }
     if (entry.local) {
         this->keeper->ask(this->node.identity, entry.ask,
                           [self = this->shared_from_this()](const SlotReply &reply) {
                               asio::post(self->link->executor(),
-                                         [self, reply] { self->takeReply(reply); });
+                                         [self, reply] { self->handleReply(reply); });
                           });
     } else {
         this->link->send(entry.keeper, entry.ask);
@@ -250,77 +253,78 @@
         });
 }
 
-void Slots::takeReply(const SlotReply &reply)
+void SlotClient::handleReply(const SlotReply &reply)
 {
-    const auto found = this->pending.find(reply.askId);
-    if (found == this->pending.end()) {
-        this->returnLateGrant(reply);
+    const auto found = this->pendingRequests.find(reply.requestId);
+    if (found == this->pendingRequests.end()) {
+        this->releaseLateGrant(reply);
         return;
     }
     if (reply.verdict != SlotVerdict::Queued) {
-        this->finishAsk(reply.askId, reply);
+        this->finishAsk(reply.requestId, reply);
         return;
     }
-    PendingAsk &entry = found->second;
-    entry.sends = 0;
+    PendingRequest &entry = found->second;
+    entry.sendCount = 0;
     if (!entry.queued) {
         entry.queued = true;
         entry.timer->expires_after(queuedPeriod);
-        entry.timer->async_wait(
-            [self = this->shared_from_this(), askId = reply.askId](const asio::error_code &error) {
-                if (!error) {
-                    self->sendAsk(askId);
-                }
-            });
+        entry.timer->async_wait([self = this->shared_from_this(),
+                                 askId = reply.requestId](const asio::error_code &error) {
+            if (!error) {
+                self->sendAsk(askId);
+            }
+        });
     }
 }
 
-void Slots::giveUp(std::uint32_t askId)
+void SlotClient::timeOutRequest(std::uint32_t askId)
 {
-    const PendingAsk &entry = this->pending.at(askId);
+    const PendingRequest &entry = this->pendingRequests.at(askId);
     const ShardId shard = shardIdOf(entry.ask.shard);
     const TimePoint now = this->node.clock.now();
     this->node.metrics.count(Counter::SlotAskTimeouts);
-    std::erase_if(this->givenUp,
+    std::erase_if(this->timedOutRequests,
                   [now](const auto &item) { return now - item.second.since > givenUpMemory; });
-    this->givenUp[askId] = {entry.keeper, shard, now};
-    this->give(entry.keeper, entry.local, shard, askId);
+    this->timedOutRequests[askId] = {entry.keeper, shard, now};
+    this->sendRelease(entry.keeper, entry.local, shard, askId);
     this->finishAsk(askId, std::nullopt);
 }
 
 /// A grant can cross the end of our patience. Dropped, its slot would stay counted until this
 /// router leaves, seen as an engine that fills up without work; so it is given back.
-void Slots::returnLateGrant(const SlotReply &reply)
+void SlotClient::releaseLateGrant(const SlotReply &reply)
 {
-    const auto found = this->givenUp.find(reply.askId);
-    if (reply.verdict != SlotVerdict::Granted || found == this->givenUp.end()) {
+    const auto found = this->timedOutRequests.find(reply.requestId);
+    if (reply.verdict != SlotVerdict::Granted || found == this->timedOutRequests.end()) {
         return;
     }
-    this->give(found->second.keeper, found->second.keeper == this->node.settings.peerDatagrams,
-               found->second.shard, reply.askId);
+    this->sendRelease(found->second.keeper,
+                      found->second.keeper == this->node.settings.peerDatagrams,
+                      found->second.shard, reply.requestId);
 }
 
-void Slots::give(const Endpoint &keeper, bool local, ShardId shard, std::uint32_t askId)
+void SlotClient::sendRelease(const Endpoint &keeper, bool local, ShardId shard, std::uint32_t askId)
 {
     if (local) {
         this->keeper->release(this->node.identity, {shard, {askId}});
         return;
     }
-    this->releases[{keeper, shard}].push_back(askId);
+    this->pendingReleases[{keeper, shard}].push_back(askId);
 }
 
-void Slots::finishAsk(std::uint32_t askId, const std::optional<SlotReply> &reply)
+void SlotClient::finishAsk(std::uint32_t askId, const std::optional<SlotReply> &reply)
 {
-    const auto found = this->pending.find(askId);
-    if (found == this->pending.end()) {
+    const auto found = this->pendingRequests.find(askId);
+    if (found == this->pendingRequests.end()) {
         return;
     }
-    const PendingAsk entry = std::move(found->second);
-    this->pending.erase(found);
-    entry.done(reply);
+    const PendingRequest entry = std::move(found->second);
+    this->pendingRequests.erase(found);
+    entry.onReply(reply);
 }
 
-void Slots::flush(std::function<void()> done)
+void SlotClient::flush(std::function<void()> done)
 {
     asio::post(this->link->executor(), [self = this->shared_from_this(), done = std::move(done)] {
         self->flushReleases();
@@ -328,7 +332,7 @@
     });
 }
 
-void Slots::scheduleReleases()
+void SlotClient::scheduleReleases()
 {
     this->flushReleases();
     this->releaseTimer.expires_after(releasePeriod);
@@ -339,58 +343,58 @@
     });
 }
 
-void Slots::flushReleases()
+void SlotClient::flushReleases()
 {
-    if (this->releases.empty()) {
+    if (this->pendingReleases.empty()) {
         return;
     }
-    this->flushedAt = this->node.clock.now();
-    const auto batch = std::move(this->releases);
-    this->releases.clear();
+    this->lastFlush = this->node.clock.now();
+    const auto batch = std::move(this->pendingReleases);
+    this->pendingReleases.clear();
     for (const auto &[target, ids] : batch) {
         for (std::size_t first = 0; first < ids.size(); first += releasesInDatagram) {
             const std::size_t last = std::min(ids.size(), first + releasesInDatagram);
             SlotRelease release;
             release.shard = target.second;
-            release.askIds.assign(ids.begin() + static_cast<std::ptrdiff_t>(first),
-                                  ids.begin() + static_cast<std::ptrdiff_t>(last));
+            release.requestIds.assign(ids.begin() + static_cast<std::ptrdiff_t>(first),
+                                      ids.begin() + static_cast<std::ptrdiff_t>(last));
             this->link->send(target.first, release);
         }
     }
 }
 
-void Slots::release(const HeldSlot &slot)
+void SlotClient::release(const HeldSlot &slot)
 {
     if (slot.keeper.id == this->node.settings.id) {
         this->keeper->release(this->node.identity, {shardIdOf(slot.shard), {slot.askId}});
     }
     asio::post(this->link->executor(),
-               [self = this->shared_from_this(), slot] { self->releaseHere(slot); });
+               [self = this->shared_from_this(), slot] { self->releaseOnStrand(slot); });
 }
 
-void Slots::releaseHere(const HeldSlot &slot)
+void SlotClient::releaseOnStrand(const HeldSlot &slot)
 {
     const ShardId shard = shardIdOf(slot.shard);
-    this->held->erase(slot.shard, slot.askId);
+    this->heldSlots->erase(slot.shard, slot.askId);
     // The shard may have another keeper by now, which learnt of the slot from our list.
-    std::set<Endpoint> keepers{slot.keeper.datagrams};
-    if (const auto present = keeperOf(slot.shard, *this->node.members.active())) {
-        keepers.insert(present->datagrams);
+    std::set<Endpoint> keepers{slot.keeper.datagramEndpoint};
+    if (const auto present = coordinatorOf(slot.shard, *this->node.members.active())) {
+        keepers.insert(present->datagramEndpoint);
     }
     for (const Endpoint &keeper : keepers) {
-        this->give(keeper, keeper == this->node.settings.peerDatagrams, shard, slot.askId);
+        this->sendRelease(keeper, keeper == this->node.settings.peerDatagrams, shard, slot.askId);
     }
     // A chat that returns right after its answer would find its own slot still counted and
     // be displaced; only the releases of a busy moment wait for a common datagram.
-    if (this->node.clock.now() - this->flushedAt >= releasePeriod) {
+    if (this->node.clock.now() - this->lastFlush >= releasePeriod) {
         this->flushReleases();
     }
 }
 
-std::uint32_t Slots::lowestPending(ShardId shard) const
+std::uint32_t SlotClient::lowestPending(ShardId shard) const
 {
     std::uint32_t lowest = this->nextAsk;
-    for (const auto &[askId, entry] : this->pending) {
+    for (const auto &[askId, entry] : this->pendingRequests) {
         if (shardIdOf(entry.ask.shard) == shard) {
             lowest = std::min(lowest, askId);
         }
--- a/daemon/slotclient.h
+++ b/daemon/slotclient.h
@@ -26,10 +26,10 @@
 };
 
 /// What a request needs a slot for.
-struct SlotNeed
+struct SlotRequirements
 {
     PlacementPlan plan;
-    std::uint64_t chat = 0;
+    std::uint64_t chatHash = 0;
     std::uint64_t fingerprint = 0;
     std::vector<UpstreamId> avoid;
     std::uint64_t workspace = 0;
@@ -43,43 +43,44 @@
 
 /// Gets slots from the keepers of the shards, in the order of the plan.
 /// What it has to remember lives on the peer link's strand.
-class Slots : public std::enable_shared_from_this<Slots>
+class SlotClient : public std::enable_shared_from_this<SlotClient>
 {
 public:
-    using Done = std::function<void(std::optional<HeldSlot>, Reason)>;
+    using AcquireCallback = std::function<void(std::optional<HeldSlot>, Reason)>;
     /// Hears each step, for the explanation of the request.
-    using Note = std::function<void(std::string)>;
+    using StepCallback = std::function<void(std::string)>;
 
-    Slots(asio::io_context &context, Node &node, std::shared_ptr<PeerLink> link,
-          std::shared_ptr<KeeperService> keeper);
+    SlotClient(asio::io_context &context, Node &node, std::shared_ptr<PeerTransport> link,
+               std::shared_ptr<CoordinatorService> keeper);
 
     void start();
     /// Asks one shard after the other; \a done is called once, maybe on another thread.
-    void acquire(const std::shared_ptr<const SlotNeed> &need, Note note, Done done);
+    void acquire(const std::shared_ptr<const SlotRequirements> &need, StepCallback note,
+                 AcquireCallback done);
     /// Gives \a slot back.
     void release(const HeldSlot &slot);
     /// Sends the releases that wait; \a done runs once they are handed to the socket.
     void flush(std::function<void()> done);
 
     /// Lets go of the requests that wait, once no worker runs any more.
-    void forgetAsks() { this->pending.clear(); }
+    void dropPendingRequests() { this->pendingRequests.clear(); }
 
 private:
-    using ReplyHandler = std::function<void(const std::optional<SlotReply> &)>;
-    struct PendingAsk
+    using ReplyCallback = std::function<void(const std::optional<SlotReply> &)>;
+    struct PendingRequest
     {
         Endpoint keeper;
-        SlotAsk ask;
-        ReplyHandler done;
+        SlotRequest ask;
+        ReplyCallback onReply;
         std::unique_ptr<asio::steady_timer> timer;
-        int sends = 0;
-        std::shared_ptr<const SlotNeed> need;
+        int sendCount = 0;
+        std::shared_ptr<const SlotRequirements> requirements;
         /// The keeper is this router.
         bool local = false;
         bool queued = false;
     };
     /// An ask without an answer that this router no longer waits for.
-    struct GivenUpAsk
+    struct TimedOutRequest
     {
         Endpoint keeper;
         ShardId shard = 0;
@@ -89,53 +90,53 @@
     /// A request on its way to a slot.
     struct Acquisition
     {
-        std::shared_ptr<const SlotNeed> need;
-        Note note;
-        Done done;
-        std::size_t shard = 0;
+        std::shared_ptr<const SlotRequirements> requirements;
+        StepCallback addStep;
+        AcquireCallback onDone;
+        std::size_t shardIndex = 0;
         /// Position in the shard's order of keepers.
-        std::size_t keeper = 0;
+        std::size_t keeperIndex = 0;
         bool answered = false;
         bool waiting = false;
-        Reason last;
+        Reason lastRefusal;
     };
     using AcquisitionPointer = std::shared_ptr<Acquisition>;
 
     void tryShard(const AcquisitionPointer &way);
-    void tryElsewhere(const AcquisitionPointer &way);
+    void tryFallback(const AcquisitionPointer &way);
     void askKeeper(const AcquisitionPointer &way, const Heartbeat &keeper);
-    void takeOutcome(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
-                     const std::optional<SlotReply> &reply);
-    bool takeGrant(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
-                   UpstreamId upstreamId);
+    void handleOutcome(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
+                       const std::optional<SlotReply> &reply);
+    bool acceptGrant(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
+                     UpstreamId upstreamId);
     [[nodiscard]] std::vector<Heartbeat> keepersToAsk(const Shard &shard);
-    void markSilent(const std::string &keeper);
-    void releaseHere(const HeldSlot &slot);
+    void markUnresponsive(const std::string &keeper);
+    void releaseOnStrand(const HeldSlot &slot);
     [[nodiscard]] std::uint32_t lowestPending(ShardId shard) const;
-    void ask(const Heartbeat &keeper, SlotAsk ask, std::shared_ptr<const SlotNeed> need,
-             ReplyHandler done);
+    void ask(const Heartbeat &keeper, SlotRequest ask, std::shared_ptr<const SlotRequirements> need,
+             ReplyCallback done);
     void sendAsk(std::uint32_t askId);
-    void takeReply(const SlotReply &reply);
-    void giveUp(std::uint32_t askId);
-    void returnLateGrant(const SlotReply &reply);
-    void give(const Endpoint &keeper, bool local, ShardId shard, std::uint32_t askId);
+    void handleReply(const SlotReply &reply);
+    void timeOutRequest(std::uint32_t askId);
+    void releaseLateGrant(const SlotReply &reply);
+    void sendRelease(const Endpoint &keeper, bool local, ShardId shard, std::uint32_t askId);
     void finishAsk(std::uint32_t askId, const std::optional<SlotReply> &reply);
     void scheduleReleases();
     void flushReleases();
 
     Node &node;
-    std::shared_ptr<PeerLink> link;
-    std::shared_ptr<KeeperService> keeper;
-    std::shared_ptr<HeldSlots> held;
+    std::shared_ptr<PeerTransport> link;
+    std::shared_ptr<CoordinatorService> keeper;
+    std::shared_ptr<HeldSlots> heldSlots;
     asio::steady_timer releaseTimer;
     std::atomic<std::uint32_t> nextAsk = 1;
-    TimePoint flushedAt;
-    std::unordered_map<std::uint32_t, PendingAsk> pending;
-    std::unordered_map<std::uint32_t, GivenUpAsk> givenUp;
-    std::map<std::pair<Endpoint, ShardId>, std::vector<std::uint32_t>> releases;
+    TimePoint lastFlush;
+    std::unordered_map<std::uint32_t, PendingRequest> pendingRequests;
+    std::unordered_map<std::uint32_t, TimedOutRequest> timedOutRequests;
+    std::map<std::pair<Endpoint, ShardId>, std::vector<std::uint32_t>> pendingReleases;
     RankedMutex mutex{LockRank::Slots};
     /// Keepers that gave no answer of late are asked last until then.
-    std::map<std::string, TimePoint> silentUntil;
+    std::map<std::string, TimePoint> unresponsiveUntil;
 };
 
 } // namespace plantainswitch
--- a/daemon/statuswriter.cpp
+++ b/daemon/statuswriter.cpp
@@ -36,7 +36,8 @@
 
 bool StatusWriter::isFirstWatcher() const
 {
-    const auto watchers = watchersOf(this->node.settings.place, *this->node.members.active(), 1);
+    const auto watchers =
+        watchersOf(this->node.settings.dataCentre, *this->node.members.active(), 1);
     return !watchers.empty() && watchers.front().id == this->node.settings.id;
 }
 
@@ -46,7 +47,7 @@
     nlohmann::json versions = nlohmann::json::object();
     std::uint64_t lowest = own.catalogueVersion;
     for (const Heartbeat &member : this->node.members.all()) {
-        if (member.place != own.place) {
+        if (member.dataCentre != own.dataCentre) {
             continue;
         }
         const std::uint64_t version =
@@ -58,7 +59,7 @@
     for (const EntryKey &key : this->node.catalogue.unreadable()) {
         unreadable.push_back(std::string(nameOf(key.kind)) + "/" + key.name);
     }
-    return {{"place", own.place},
+    return {{"place", own.dataCentre},
             {"routers", versions.size()},
             {"lowestVersion", lowest},
             {"versions", versions},
@@ -67,28 +68,29 @@
 
 void StatusWriter::writeIfChanged()
 {
-    if (this->writing || !this->isFirstWatcher()) {
+    if (this->writeInFlight || !this->isFirstWatcher()) {
         return;
     }
     nlohmann::json wanted = this->body();
-    if (wanted == this->written) {
+    if (wanted == this->lastWritten) {
         return;
     }
-    this->writing = true;
+    this->writeInFlight = true;
     this->node.metrics.count(Counter::PlatformCalls);
     this->platform.put(
-        statusKind, this->node.settings.place, this->version, wanted,
-        [self = this->shared_from_this(), wanted](const net::PlatformAnswer &answer) {
-            asio::post(self->strand, [self, wanted, answer] { self->takeAnswer(answer, wanted); });
+        statusKind, this->node.settings.dataCentre, this->version, wanted,
+        [self = this->shared_from_this(), wanted](const net::PlatformResponse &answer) {
+            asio::post(self->strand,
+                       [self, wanted, answer] { self->handleResponse(answer, wanted); });
         });
 }
 
-void StatusWriter::takeAnswer(const net::PlatformAnswer &answer, const nlohmann::json &body)
+void StatusWriter::handleResponse(const net::PlatformResponse &answer, const nlohmann::json &body)
 {
-    this->writing = false;
+    this->writeInFlight = false;
     if (answer.status == net::PlatformStatus::Ok) {
         this->version = answer.object->version;
-        this->written = body;
+        this->lastWritten = body;
     } else if (answer.status == net::PlatformStatus::Conflict) {
         // An earlier watcher wrote, or an own write took effect without an answer; the next
         // round writes above it.
--- a/daemon/statuswriter.h
+++ b/daemon/statuswriter.h
@@ -23,7 +23,7 @@
 private:
     void schedule();
     void writeIfChanged();
-    void takeAnswer(const net::PlatformAnswer &answer, const nlohmann::json &body);
+    void handleResponse(const net::PlatformResponse &answer, const nlohmann::json &body);
     [[nodiscard]] bool isFirstWatcher() const;
     [[nodiscard]] nlohmann::json body() const;
 
@@ -31,9 +31,9 @@
     net::PlatformClient platform;
     asio::strand<asio::io_context::executor_type> strand;
     asio::steady_timer timer;
-    nlohmann::json written;
+    nlohmann::json lastWritten;
     std::uint64_t version = 0;
-    bool writing = false;
+    bool writeInFlight = false;
 };
 
 } // namespace plantainswitch
--- a/daemon/suspectbroadcaster.cpp
+++ b/daemon/suspectbroadcaster.cpp
@@ -2,30 +2,30 @@
 
 namespace plantainswitch {
 
-void SuspectSharing::start()
+void SuspectBroadcaster::start()
 {
-    this->link->handle<SuspectNews>(
+    this->link->setHandler<SuspectUpdate>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &, PeerBody body) {
-            self->node.suspects.take(std::get<SuspectNews>(body), self->node.clock.now());
+            self->node.suspects.applyUpdate(std::get<SuspectUpdate>(body), self->node.clock.now());
         });
 }
 
-void SuspectSharing::crashed(UpstreamId upstream, Fingerprint fingerprint)
+void SuspectBroadcaster::reportCrash(UpstreamId upstream, Fingerprint fingerprint)
 {
-    this->share({upstream, {fingerprint}, {}});
+    this->broadcast({upstream, {fingerprint}, {}});
 }
 
-void SuspectSharing::cleared(Fingerprint fingerprint)
+void SuspectBroadcaster::reportCleared(Fingerprint fingerprint)
 {
-    this->share({0, {}, {fingerprint}});
+    this->broadcast({0, {}, {fingerprint}});
 }
 
-void SuspectSharing::share(const SuspectNews &news)
+void SuspectBroadcaster::broadcast(const SuspectUpdate &news)
 {
-    this->node.suspects.take(news, this->node.clock.now());
+    this->node.suspects.applyUpdate(news, this->node.clock.now());
     for (const Heartbeat &member : this->node.members.all()) {
         if (member.id != this->node.settings.id) {
-            this->link->send(member.datagrams, news);
+            this->link->send(member.datagramEndpoint, news);
         }
     }
 }
--- a/daemon/suspectbroadcaster.h
+++ b/daemon/suspectbroadcaster.h
@@ -8,25 +8,25 @@
 namespace plantainswitch {
 
 /// Shares blame for crashes with all other routers.
-class SuspectSharing : public std::enable_shared_from_this<SuspectSharing>
+class SuspectBroadcaster : public std::enable_shared_from_this<SuspectBroadcaster>
 {
 public:
-    SuspectSharing(Node &node, std::shared_ptr<PeerLink> link)
+    SuspectBroadcaster(Node &node, std::shared_ptr<PeerTransport> link)
         : node(node)
         , link(std::move(link))
     {}
 
     void start();
     /// Tells all that \a upstream crashed while it ran the request.
-    void crashed(UpstreamId upstream, Fingerprint fingerprint);
+    void reportCrash(UpstreamId upstream, Fingerprint fingerprint);
     /// Tells all that a suspect has finished.
-    void cleared(Fingerprint fingerprint);
+    void reportCleared(Fingerprint fingerprint);
 
 private:
-    void share(const SuspectNews &news);
+    void broadcast(const SuspectUpdate &news);
 
     Node &node;
-    std::shared_ptr<PeerLink> link;
+    std::shared_ptr<PeerTransport> link;
 };
 
 } // namespace plantainswitch
--- a/daemon/wirecodec.h
+++ b/daemon/wirecodec.h
@@ -16,32 +16,32 @@
 [[nodiscard]] LeavingNotice read(const wire::LeavingNotice &from);
 
 /// Slots at the keepers.
-void fill(wire::Datagram &datagram, const SlotAsk &from);
+void fill(wire::Datagram &datagram, const SlotRequest &from);
 void fill(wire::Datagram &datagram, const SlotReply &from);
 void fill(wire::Datagram &datagram, const SlotRelease &from);
 void fill(wire::Datagram &datagram, const SlotDigest &from);
-void fill(wire::Datagram &datagram, const SlotListAsk &from);
+void fill(wire::Datagram &datagram, const SlotListRequest &from);
 void fill(wire::Datagram &datagram, const SlotList &from);
 void fill(wire::Datagram &datagram, const ShardSummary &from);
 void fill(wire::Datagram &datagram, const ChatHints &from);
-[[nodiscard]] SlotAsk read(const wire::SlotAsk &from);
+[[nodiscard]] SlotRequest read(const wire::SlotAsk &from);
 [[nodiscard]] std::optional<SlotReply> read(const wire::SlotReply &from);
 [[nodiscard]] SlotRelease read(const wire::SlotRelease &from);
 [[nodiscard]] SlotDigest read(const wire::SlotDigest &from);
-[[nodiscard]] SlotListAsk read(const wire::SlotListAsk &from);
+[[nodiscard]] SlotListRequest read(const wire::SlotListAsk &from);
 [[nodiscard]] std::optional<SlotList> read(const wire::SlotList &from);
 [[nodiscard]] ShardSummary read(const wire::ShardSummary &from);
 [[nodiscard]] std::optional<ChatHints> read(const wire::ChatHints &from);
 
 /// Claims and requests that crash upstreams.
-void fill(wire::Datagram &datagram, const ClaimAsk &from);
+void fill(wire::Datagram &datagram, const ClaimRequest &from);
 void fill(wire::Datagram &datagram, const ClaimReply &from);
 void fill(wire::Datagram &datagram, const ClaimRelease &from);
-void fill(wire::Datagram &datagram, const SuspectNews &from);
-[[nodiscard]] ClaimAsk read(const wire::ClaimAsk &from, std::uint64_t sender);
+void fill(wire::Datagram &datagram, const SuspectUpdate &from);
+[[nodiscard]] ClaimRequest read(const wire::ClaimAsk &from, std::uint64_t sender);
 [[nodiscard]] std::optional<ClaimReply> read(const wire::ClaimReply &from);
 [[nodiscard]] ClaimRelease read(const wire::ClaimRelease &from);
-[[nodiscard]] SuspectNews read(const wire::SuspectNews &from);
+[[nodiscard]] SuspectUpdate read(const wire::SuspectNews &from);
 
 /// Workspaces' limits.
 void fill(wire::Datagram &datagram, const LimitReport &from);
--- a/daemon/wirecodecclaims.cpp
+++ b/daemon/wirecodecclaims.cpp
@@ -2,7 +2,7 @@
 
 namespace plantainswitch::codec {
 
-void fill(wire::Datagram &datagram, const ClaimAsk &from)
+void fill(wire::Datagram &datagram, const ClaimRequest &from)
 {
     wire::ClaimAsk &to = *datagram.mutable_claim_ask();
     to.set_id_high(from.claim.id.high);
@@ -30,7 +30,7 @@
     to.set_nonce(from.nonce);
 }
 
-void fill(wire::Datagram &datagram, const SuspectNews &from)
+void fill(wire::Datagram &datagram, const SuspectUpdate &from)
 {
     wire::SuspectNews &to = *datagram.mutable_suspect_news();
     to.set_upstream(from.upstream);
@@ -38,7 +38,7 @@
     to.mutable_cleared()->Add(from.cleared.begin(), from.cleared.end());
 }
 
-ClaimAsk read(const wire::ClaimAsk &from, std::uint64_t sender)
+ClaimRequest read(const wire::ClaimAsk &from, std::uint64_t sender)
 {
     return {{{from.id_high(), from.id_low()}, sender, from.nonce(), from.content()},
             from.issued_milliseconds()};
@@ -59,7 +59,7 @@
     return {{from.id_high(), from.id_low()}, from.nonce()};
 }
 
-SuspectNews read(const wire::SuspectNews &from)
+SuspectUpdate read(const wire::SuspectNews &from)
 {
     return {from.upstream(),
             {from.crashed().begin(), from.crashed().end()},
--- a/daemon/wirecodecmembers.cpp
+++ b/daemon/wirecodecmembers.cpp
@@ -22,16 +22,16 @@
 void toWire(const Heartbeat &from, wire::Heartbeat &to)
 {
     to.set_id(from.id);
-    to.set_place(from.place);
-    toWire(from.datagrams, *to.mutable_datagrams());
-    toWire(from.calls, *to.mutable_calls());
+    to.set_place(from.dataCentre);
+    toWire(from.datagramEndpoint, *to.mutable_datagrams());
+    toWire(from.rpcEndpoint, *to.mutable_calls());
     to.set_incarnation(from.incarnation);
     to.set_catalogue_version(from.catalogueVersion);
     to.set_leaving(from.leaving);
     to.set_refutation(from.refutation);
-    to.set_catalogue_age(from.catalogueAge);
-    to.set_vm_stamp(from.vmStamp);
-    to.set_vm_digest(from.vmDigest);
+    to.set_catalogue_age(from.catalogueAgeMilliseconds);
+    to.set_vm_stamp(from.vmListVersion);
+    to.set_vm_digest(from.vmListDigest);
 }
 
 /// Sending to a member turns its address into an IP number; one that can't be would end the
@@ -51,16 +51,16 @@
     }
     Heartbeat to;
     to.id = from.id();
-    to.place = from.place();
-    to.datagrams = fromWire(from.datagrams());
-    to.calls = fromWire(from.calls());
+    to.dataCentre = from.place();
+    to.datagramEndpoint = fromWire(from.datagrams());
+    to.rpcEndpoint = fromWire(from.calls());
     to.incarnation = from.incarnation();
     to.catalogueVersion = from.catalogue_version();
     to.leaving = from.leaving();
     to.refutation = from.refutation();
-    to.catalogueAge = from.catalogue_age();
-    to.vmStamp = from.vm_stamp();
-    to.vmDigest = from.vm_digest();
+    to.catalogueAgeMilliseconds = from.catalogue_age();
+    to.vmListVersion = from.vm_stamp();
+    to.vmListDigest = from.vm_digest();
     return to;
 }
 
@@ -72,7 +72,7 @@
     to.set_kind(static_cast<std::uint32_t>(from.kind));
     to.set_probe(from.probe);
     to.set_join(from.join);
-    toWire(from.from, *to.mutable_from());
+    toWire(from.sender, *to.mutable_from());
     if (from.kind == SwimKind::PingRequest) {
         toWire(from.target, *to.mutable_target());
     }
@@ -94,7 +94,7 @@
 std::optional<SwimMessage> read(const wire::Swim &from)
 {
     SwimMessage to;
-    if (from.kind() > static_cast<std::uint32_t>(SwimKind::State)) {
+    if (from.kind() > static_cast<std::uint32_t>(SwimKind::JoinReply)) {
         return std::nullopt;
     }
     to.kind = static_cast<SwimKind>(from.kind());
@@ -104,7 +104,7 @@
     if (!sender || (to.kind == SwimKind::PingRequest && !isUsable(from.target()))) {
         return std::nullopt;
     }
-    to.from = std::move(*sender);
+    to.sender = std::move(*sender);
     if (to.kind == SwimKind::PingRequest) {
         to.target = fromWire(from.target());
     }
