--- a/daemon/wirecodecslots.cpp
+++ b/daemon/wirecodecslots.cpp
@@ -2,12 +2,12 @@
 
 namespace plantainswitch::codec {
 
-void fill(wire::Datagram &datagram, const SlotAsk &from)
+void fill(wire::Datagram &datagram, const SlotRequest &from)
 {
     wire::SlotAsk &to = *datagram.mutable_ask();
-    to.set_ask_id(from.askId);
+    to.set_ask_id(from.requestId);
     to.set_service(from.shard.service);
-    to.set_place(from.shard.place);
+    to.set_place(from.shard.dataCentre);
     to.set_shard(from.shard.number);
     to.set_chat(from.chat);
     to.set_fingerprint(from.fingerprint);
@@ -25,7 +25,7 @@
 void fill(wire::Datagram &datagram, const SlotReply &from)
 {
     wire::SlotReply &to = *datagram.mutable_reply();
-    to.set_ask_id(from.askId);
+    to.set_ask_id(from.requestId);
     to.set_verdict(static_cast<std::uint32_t>(from.verdict));
     to.set_upstream(from.upstream);
     to.set_retry_after_seconds(from.retryAfterSeconds);
@@ -35,7 +35,7 @@
 {
     wire::SlotRelease &to = *datagram.mutable_release();
     to.set_shard(from.shard);
-    for (const std::uint32_t id : from.askIds) {
+    for (const std::uint32_t id : from.requestIds) {
         to.add_ask_ids(id);
     }
 }
@@ -46,10 +46,10 @@
     to.set_shard(from.shard);
     to.set_below(from.below);
     to.set_count(from.count);
-    to.set_mix(from.mix);
+    to.set_mix(from.hash);
 }
 
-void fill(wire::Datagram &datagram, const SlotListAsk &from)
+void fill(wire::Datagram &datagram, const SlotListRequest &from)
 {
     datagram.mutable_list_ask()->set_shard(from.shard);
 }
@@ -58,13 +58,13 @@
 {
     wire::SlotList &to = *datagram.mutable_list();
     to.set_service(from.shard.service);
-    to.set_place(from.shard.place);
+    to.set_place(from.shard.dataCentre);
     to.set_shard(from.shard.number);
     to.set_router(from.router);
     to.set_from(from.from);
     to.set_below(from.below);
     for (const ListedSlot &slot : from.slots) {
-        to.add_ask_ids(slot.askId);
+        to.add_ask_ids(slot.requestId);
         to.add_upstreams(slot.upstream);
     }
 }
@@ -73,16 +73,16 @@
 {
     wire::ShardSummary &to = *datagram.mutable_summary();
     to.set_service(from.shard.service);
-    to.set_place(from.shard.place);
+    to.set_place(from.shard.dataCentre);
     to.set_shard(from.shard.number);
     to.set_load(from.load);
     to.set_engines(from.engines);
 }
 
-SlotAsk read(const wire::SlotAsk &from)
+SlotRequest read(const wire::SlotAsk &from)
 {
-    SlotAsk to;
-    to.askId = from.ask_id();
+    SlotRequest to;
+    to.requestId = from.ask_id();
     to.shard = {from.service(), from.place(), from.shard()};
     to.chat = from.chat();
     to.fingerprint = from.fingerprint();
@@ -107,7 +107,7 @@
 {
     SlotRelease to;
     to.shard = from.shard();
-    to.askIds.assign(from.ask_ids().begin(), from.ask_ids().end());
+    to.requestIds.assign(from.ask_ids().begin(), from.ask_ids().end());
     return to;
 }
 
@@ -116,7 +116,7 @@
     return {from.shard(), from.below(), from.count(), from.mix()};
 }
 
-SlotListAsk read(const wire::SlotListAsk &from)
+SlotListRequest read(const wire::SlotListAsk &from)
 {
     return {from.shard()};
 }
--- a/examples/admission.cpp
+++ b/examples/admission.cpp
@@ -28,11 +28,11 @@
     Reason reason;
     const auto admission = admit(*catalogue.view(), "secret", "model", Duration{0}, reason);
     if (!admission) {
-        std::cout << "refused: " << errorRow(reason.kind).sentence << "\n";
+        std::cout << "refused: " << errorRow(reason.kind).message << "\n";
         return 1;
     }
     std::cout << admission->workspace << " may be served in";
-    for (const std::string &place : admission->places) {
+    for (const std::string &place : admission->dataCentres) {
         std::cout << " " << place;
     }
     std::cout << "\n";
--- a/examples/placement.cpp
+++ b/examples/placement.cpp
@@ -7,10 +7,10 @@
 {
     using namespace plantainswitch;
     ShardState state;
-    const GrantView view{{1, 2, 3, 4}, {}, false};
+    const GrantContext view{{1, 2, 3, 4}, {}, false};
     constexpr std::uint32_t asks = 12;
     for (std::uint32_t id = 1; id <= asks; ++id) {
-        const SlotAsk ask{id, {"model", "hall-a", 0}, hashOf("one chat"), 0, {}};
+        const SlotRequest ask{id, {"model", "hall-a", 0}, hashOf("one chat"), 0, {}};
         const SlotReply reply = grantSlot(state, 1, ask, view, TimePoint{});
         std::cout << "ask " << id << " -> engine " << reply.upstream << "\n";
     }
--- a/gateway/bytestream.cpp
+++ b/gateway/bytestream.cpp
@@ -34,7 +34,7 @@
     socket.non_blocking(true, ignored);
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
-    socket.set_option(UserTimeout(static_cast<int>(unacknowledgedLimit.count())), ignored);
+    socket.set_option(UserTimeout(static_cast<int>(unacknowledgedTimeout.count())), ignored);
     socket.set_option(KeepIdle(keepAliveSeconds), ignored);
     socket.set_option(KeepInterval(keepAliveSeconds), ignored);
     socket.set_option(KeepCount(keepAliveProbes), ignored);
@@ -44,9 +44,9 @@
     : socket(std::move(socket))
 {}
 
-void ByteStream::start(Events newEvents)
+void ByteStream::start(Handlers newEvents)
 {
-    this->events = std::move(newEvents);
+    this->handlers = std::move(newEvents);
     this->waitToRead();
 }
 
@@ -61,7 +61,7 @@
                                 self->waitingToRead = false;
                                 if (error) {
                                     if (error != asio::error::operation_aborted) {
-                                        self->fail(false);
+                                        self->notifyClosed(false);
                                     }
                                     return;
                                 }
@@ -81,12 +81,12 @@
         return;
     }
     if (error) {
-        this->fail(error == asio::error::eof);
+        this->notifyClosed(error == asio::error::eof);
         return;
     }
-    if (this->events.onBytes) {
+    if (this->handlers.onBytes) {
         // The owner may replace its events while it hears of bytes.
-        const auto onBytes = this->events.onBytes;
+        const auto onBytes = this->handlers.onBytes;
         onBytes(std::string_view(readBuffer().data(), size));
     }
     this->waitToRead();
@@ -139,14 +139,14 @@
             return;
         }
         if (error) {
-            this->fail(false);
+            this->notifyClosed(false);
             return;
         }
     }
     if (this->closing) {
         this->close();
-    } else if (this->events.onWritten) {
-        const auto onWritten = this->events.onWritten;
+    } else if (this->handlers.onWritten) {
+        const auto onWritten = this->handlers.onWritten;
         onWritten();
     }
 }
@@ -160,7 +160,7 @@
                                 if (!error) {
                                     self->writeNow();
                                 } else if (error != asio::error::operation_aborted) {
-                                    self->fail(false);
+                                    self->notifyClosed(false);
                                 }
                             });
 }
@@ -178,7 +178,7 @@
 
 void ByteStream::close()
 {
-    this->events = {};
+    this->handlers = {};
     // Errors of closing say nothing that its end has not said.
     asio::error_code ignored;
     this->socket.close(ignored);
@@ -194,9 +194,9 @@
     this->close();
 }
 
-void ByteStream::fail(bool inOrder)
+void ByteStream::notifyClosed(bool inOrder)
 {
-    const auto onClosed = std::move(this->events.onClosed);
+    const auto onClosed = std::move(this->handlers.onClosed);
     this->close();
     if (onClosed) {
         onClosed(inOrder);
--- a/gateway/bytestream.h
+++ b/gateway/bytestream.h
@@ -12,7 +12,7 @@
 /// How long a peer may leave sent bytes unacknowledged before the connection counts as dead. A
 /// machine without power or behind a partition answers nothing: without a bound its connections
 /// hang for minutes. Three times a retransmission across a region.
-inline constexpr std::chrono::milliseconds unacknowledgedLimit{3000};
+inline constexpr std::chrono::milliseconds unacknowledgedTimeout{3000};
 /// Silence after which a connection is asked whether it lives, and the pause between questions;
 /// with two of them a silent connection is known within some three seconds.
 inline constexpr int keepAliveSeconds = 1;
@@ -23,7 +23,7 @@
 {
 public:
     /// What the owner hears. onClosed comes at most once, and never after close() or reset().
-    struct Events
+    struct Handlers
     {
         std::function<void(std::string_view)> onBytes;
         /// \a inOrder: the other side ended the connection without a reset.
@@ -35,9 +35,9 @@
     explicit ByteStream(asio::ip::tcp::socket socket);
 
     /// Begins to read.
-    void start(Events events);
+    void start(Handlers events);
     /// Replaces who hears of it.
-    void setEvents(Events events) { this->events = std::move(events); }
+    void setHandlers(Handlers events) { this->handlers = std::move(events); }
     /// Queues bytes; they leave together at the end of the loop's turn.
     void write(std::string_view bytes);
     /// Closes once all queued bytes are written.
@@ -63,10 +63,10 @@
     void scheduleWrite();
     void writeNow();
     void waitToWrite();
-    void fail(bool inOrder);
+    void notifyClosed(bool inOrder);
 
     asio::ip::tcp::socket socket;
-    Events events;
+    Handlers handlers;
     std::string queued;
     std::string writing;
     std::size_t written = 0;
--- a/gateway/callerconnection.cpp
+++ b/gateway/callerconnection.cpp
@@ -13,30 +13,30 @@
 } // namespace
 
 CallerConnection::CallerConnection(std::uint64_t id, std::shared_ptr<ByteStream> stream,
-                                   CallerLimits limits, const CallerEvents &owner,
+                                   CallerLimits limits, const CallerHandlers &owner,
                                    const Clock &clock)
-    : number(id)
+    : connectionId(id)
     , stream(std::move(stream))
     , limits(limits)
-    , owner(owner)
+    , handlers(owner)
     , clock(clock)
-    , parser(MessageKind::Request, limits.headBytes,
+    , parser(MessageKind::Request, limits.maxHeaderBytes,
              {[this](MessageHead head) {
-                  this->tooLarge = head.bodyLength.value_or(0) > this->limits.bodyBytes;
+                  this->tooLarge = head.contentLength.value_or(0) > this->limits.maxBodyBytes;
                   if (!this->tooLarge) {
-                      this->incoming.body.reserve(head.bodyLength.value_or(0));
+                      this->incoming.body.reserve(head.contentLength.value_or(0));
                   }
                   this->incoming.head = std::move(head);
               },
               [this](std::string_view bytes) {
                   this->tooLarge =
                       this->tooLarge
-                      || this->incoming.body.size() + bytes.size() > this->limits.bodyBytes;
+                      || this->incoming.body.size() + bytes.size() > this->limits.maxBodyBytes;
                   if (!this->tooLarge) {
                       this->incoming.body.append(bytes);
                   }
               }})
-    , quietSince(clock.now())
+    , lastActivityAt(clock.now())
 {}
 
 void CallerConnection::start()
@@ -54,8 +54,8 @@
                          },
                          [weak] {
                              const auto held = weak.lock();
-                             if (held && held->busy && held->owner.onWritten) {
-                                 held->owner.onWritten(*held);
+                             if (held && held->busy && held->handlers.onWritten) {
+                                 held->handlers.onWritten(*held);
                              }
                          }});
 }
@@ -64,67 +64,67 @@
 {
     const auto self = this->shared_from_this();
     if (this->busy) {
-        this->ahead.append(bytes);
-        if (this->ahead.size() > mostAhead) {
+        this->pipelined.append(bytes);
+        if (this->pipelined.size() > mostAhead) {
             this->stream->pauseReading();
         }
         return;
     }
-    if (!this->receiving) {
-        this->receiving = true;
+    if (!this->isReceiving) {
+        this->isReceiving = true;
         this->incoming = {};
-        this->incoming.arrived = this->clock.now();
-        this->quietSince = this->incoming.arrived;
+        this->incoming.receivedAt = this->clock.now();
+        this->lastActivityAt = this->incoming.receivedAt;
     } else if (this->parser.inBody()) {
-        this->quietSince = this->clock.now();
+        this->lastActivityAt = this->clock.now();
     }
-    this->onParsed(this->parser.feed(bytes));
+    this->handleParseState(this->parser.feed(bytes));
 }
 
-void CallerConnection::onParsed(ParseState reached)
+void CallerConnection::handleParseState(ParseState reached)
 {
     if (this->tooLarge) {
-        this->keepsAlive = false;
+        this->keepAlive = false;
         this->busy = true;
         this->respond(413, {}, {}, true);
         return;
     }
     switch (reached) {
-    case ParseState::More:
+    case ParseState::Incomplete:
         return;
-    case ParseState::TooLarge:
+    case ParseState::HeadTooLarge:
         this->busy = true;
         this->respond(431, {}, {}, true);
         return;
-    case ParseState::Bad:
+    case ParseState::Malformed:
         // What can be read in two ways is not answered: the bytes behind it may be anything.
-        this->closeNow();
+        this->closeImmediately();
         return;
-    case ParseState::Whole:
+    case ParseState::Complete:
         break;
     }
     this->busy = true;
-    this->receiving = false;
-    this->keepsAlive = this->incoming.head.keepsAlive;
-    this->owner.onRequest(this->shared_from_this(), std::move(this->incoming));
+    this->isReceiving = false;
+    this->keepAlive = this->incoming.head.keepAlive;
+    this->handlers.onRequest(this->shared_from_this(), std::move(this->incoming));
 }
 
 void CallerConnection::onStreamClosed()
 {
     const auto self = this->shared_from_this();
     if (this->busy) {
-        this->owner.onGone(*this);
+        this->handlers.onDisconnected(*this);
     }
-    this->closeNow();
+    this->closeImmediately();
 }
 
 void CallerConnection::writeHead(int status, const std::vector<HeaderField> &fields)
 {
-    std::string head = fmt::format("HTTP/1.1 {} {}\r\n", status, phraseOf(status));
+    std::string head = fmt::format("HTTP/1.1 {} {}\r\n", status, reasonPhraseOf(status));
     for (const HeaderField &field : fields) {
         head.append(field.name).append(": ").append(field.value).append("\r\n");
     }
-    if (!this->keepsAlive) {
+    if (!this->keepAlive) {
         head.append("Connection: close\r\n");
     }
     this->stream->write(head);
@@ -133,16 +133,16 @@
 void CallerConnection::respond(int status, const std::vector<HeaderField> &fields,
                                std::string_view body, bool closes)
 {
-    this->keepsAlive = this->keepsAlive && !closes;
+    this->keepAlive = this->keepAlive && !closes;
     this->writeHead(status, fields);
     this->stream->write(fmt::format("Content-Length: {}\r\n\r\n", body.size()));
     this->stream->write(body);
-    this->endAnswer();
+    this->finishResponse();
 }
 
-void CallerConnection::beginChunks(int status, const std::vector<HeaderField> &fields, bool closes)
+void CallerConnection::startChunked(int status, const std::vector<HeaderField> &fields, bool closes)
 {
-    this->keepsAlive = this->keepsAlive && !closes;
+    this->keepAlive = this->keepAlive && !closes;
     this->writeHead(status, fields);
     this->stream->write("Transfer-Encoding: chunked\r\n\r\n");
 }
@@ -157,48 +157,48 @@
     this->stream->write("\r\n");
 }
 
-void CallerConnection::endChunks()
+void CallerConnection::finishChunked()
 {
     this->stream->write("0\r\n\r\n");
-    this->endAnswer();
+    this->finishResponse();
 }
 
-void CallerConnection::endAnswer()
+void CallerConnection::finishResponse()
 {
     this->busy = false;
-    this->quietSince = this->clock.now();
-    if (!this->keepsAlive) {
+    this->lastActivityAt = this->clock.now();
+    if (!this->keepAlive) {
         this->closed = true;
         this->stream->closeAfterWriting();
-        this->owner.onClosed(*this);
+        this->handlers.onClosed(*this);
         return;
     }
     this->stream->resumeReading();
     this->incoming = {};
-    if (!this->parser.hasSurplus() && this->ahead.empty()) {
-        static_cast<void>(this->parser.next());
+    if (!this->parser.hasBufferedBytes() && this->pipelined.empty()) {
+        static_cast<void>(this->parser.beginNext());
         return;
     }
     // By a turn of the loop, so that a caller who sends many requests ahead costs no stack.
-    this->receiving = true;
-    this->stream->defer([self = this->shared_from_this()] { self->readAhead(); });
+    this->isReceiving = true;
+    this->stream->defer([self = this->shared_from_this()] { self->processPipelined(); });
 }
 
-void CallerConnection::readAhead()
+void CallerConnection::processPipelined()
 {
     if (this->closed) {
         return;
     }
-    this->incoming.arrived = this->clock.now();
-    const std::string bytes = std::move(this->ahead);
-    this->ahead.clear();
-    ParseState reached = this->parser.next();
-    if (reached == ParseState::More && !bytes.empty()) {
+    this->incoming.receivedAt = this->clock.now();
+    const std::string bytes = std::move(this->pipelined);
+    this->pipelined.clear();
+    ParseState reached = this->parser.beginNext();
+    if (reached == ParseState::Incomplete && !bytes.empty()) {
         reached = this->parser.feed(bytes);
     } else {
-        this->ahead = bytes;
+        this->pipelined = bytes;
     }
-    this->onParsed(reached);
+    this->handleParseState(reached);
 }
 
 void CallerConnection::abort()
@@ -206,33 +206,33 @@
     this->busy = false;
     this->closed = true;
     this->stream->reset();
-    this->owner.onClosed(*this);
+    this->handlers.onClosed(*this);
 }
 
 void CallerConnection::closeWhenIdle()
 {
     if (this->busy) {
-        this->keepsAlive = false;
-    } else if (!this->receiving) {
-        this->closeNow();
+        this->keepAlive = false;
+    } else if (!this->isReceiving) {
+        this->closeImmediately();
     }
 }
 
 void CallerConnection::enforceLimits(const CallerLimits &newLimits, TimePoint now)
 {
     this->limits = newLimits;
-    this->parser.setLargestHead(newLimits.headBytes);
+    this->parser.setMaxHeadBytes(newLimits.maxHeaderBytes);
     if (this->busy || this->closed) {
         return;
     }
-    const bool inHead = this->receiving && !this->parser.inBody();
-    const Duration allowed = inHead ? newLimits.headTimeout : newLimits.idleTimeout;
-    if (now - this->quietSince > allowed) {
-        this->closeNow();
+    const bool inHead = this->isReceiving && !this->parser.inBody();
+    const Duration allowed = inHead ? newLimits.headerTimeout : newLimits.idleTimeout;
+    if (now - this->lastActivityAt > allowed) {
+        this->closeImmediately();
     }
 }
 
-void CallerConnection::closeNow()
+void CallerConnection::closeImmediately()
 {
     if (this->closed) {
         return;
@@ -240,7 +240,7 @@
     this->closed = true;
     this->busy = false;
     this->stream->close();
-    this->owner.onClosed(*this);
+    this->handlers.onClosed(*this);
 }
 
 } // namespace plantainswitch::gateway
--- a/gateway/datacentremonitor.cpp
+++ b/gateway/datacentremonitor.cpp
@@ -18,30 +18,30 @@
 
 } // namespace
 
-void DataCentreLinks::update(TimePoint now)
+void DataCentreMonitor::update(TimePoint now)
 {
-    if (now - this->updatedAt < updatePause) {
+    if (now - this->lastUpdateAt < updatePause) {
         return;
     }
-    this->updatedAt = now;
+    this->lastUpdateAt = now;
     for (const auto &[dataCentre, contact] : this->fleet.routers().otherDataCentres(now)) {
         this->links[dataCentre].contact = contact;
     }
     for (auto &[dataCentre, link] : this->links) {
-        this->judge(dataCentre, link, now);
+        this->evaluate(dataCentre, link, now);
     }
 }
 
-void DataCentreLinks::judge(const std::string &dataCentre, Link &link, TimePoint now)
+void DataCentreMonitor::evaluate(const std::string &dataCentre, Link &link, TimePoint now)
 {
     const std::vector<UpstreamState *> upstreams = this->gateway.upstreams.inDataCentre(dataCentre);
     const DataCentreEvidence evidence =
-        evidenceOf(link.contact, upstreams, link.connectedAt, this->fleet.routers(), now);
-    const DataCentreReach before = std::exchange(link.reach, reachOf(evidence, now));
-    const bool isCutOff = link.reach == DataCentreReach::CutOff;
-    if (isCutOff != (before == DataCentreReach::CutOff)) {
+        evidenceOf(link.contact, upstreams, link.lastConnectedAt, this->fleet.routers(), now);
+    const DataCentreReachability before = std::exchange(link.reach, reachabilityOf(evidence, now));
+    const bool isCutOff = link.reach == DataCentreReachability::Unreachable;
+    if (isCutOff != (before == DataCentreReachability::Unreachable)) {
         const auto age = std::chrono::duration_cast<Milliseconds>(now - evidence.lastReceived);
-        const auto gap = std::chrono::duration_cast<Milliseconds>(evidence.updateGap);
+        const auto gap = std::chrono::duration_cast<Milliseconds>(evidence.updateInterval);
         logEvent(Event::DataCentreReached,
                  {{"place", dataCentre},
                   {"reach", std::string(nameOf(link.reach))},
@@ -49,36 +49,36 @@
                   {"update_gap_ms", std::to_string(gap.count())},
                   {"local_updates", std::to_string(evidence.localUpdates)}});
     }
-    if (link.reach == DataCentreReach::Reachable) {
+    if (link.reach == DataCentreReachability::Reachable) {
         return;
     }
     if (isCutOff) {
         for (UpstreamState *const upstream : upstreams) {
-            recordCutOff(upstream->health, now + markSpan);
+            recordDataCentreUnreachable(upstream->health, now + markSpan);
         }
     }
     this->probe(dataCentre, link, upstreams, now);
 }
 
-void DataCentreLinks::probe(const std::string &dataCentre, Link &link,
-                            std::span<UpstreamState *const> upstreams, TimePoint now)
+void DataCentreMonitor::probe(const std::string &dataCentre, Link &link,
+                              std::span<UpstreamState *const> upstreams, TimePoint now)
 {
-    if (now - link.probedAt < probePause || upstreams.empty()) {
+    if (now - link.lastProbedAt < probePause || upstreams.empty()) {
         return;
     }
-    link.probedAt = now;
-    const std::string &id = upstreams[link.probes++ % upstreams.size()]->replica.id;
-    const auto upstream = this->gateway.upstreams.share(id);
+    link.lastProbedAt = now;
+    const std::string &id = upstreams[link.probeCount++ % upstreams.size()]->replica.id;
+    const auto upstream = this->gateway.upstreams.find(id);
     const auto connection =
         std::make_shared<UpstreamConnection>(this->gateway.context, this->gateway.clock);
-    connection->connect(upstream->replica.endpoint, upstreamConnectLimit,
+    connection->connect(upstream->replica.endpoint, upstreamConnectTimeout,
                         [this, dataCentre, upstream, connection](bool isConnected) {
                             const TimePoint then = this->gateway.clock.now();
                             if (isConnected) {
-                                this->links[dataCentre].connectedAt = then;
-                                this->gateway.upstreams.giveBack(*upstream, connection);
+                                this->links[dataCentre].lastConnectedAt = then;
+                                this->gateway.upstreams.release(*upstream, connection);
                             } else {
-                                recordCutOff(upstream->health, then + markSpan);
+                                recordDataCentreUnreachable(upstream->health, then + markSpan);
                             }
                         });
 }
--- a/gateway/datacentremonitor.h
+++ b/gateway/datacentremonitor.h
@@ -13,10 +13,10 @@
 
 /// Finds out which other data centres are cut off from this router, and keeps requests away from
 /// their upstreams.
-class DataCentreLinks
+class DataCentreMonitor
 {
 public:
-    DataCentreLinks(GatewayState &gateway, const FleetLink &fleet)
+    DataCentreMonitor(GatewayState &gateway, const FleetGossip &fleet)
         : gateway(gateway)
         , fleet(fleet)
     {}
@@ -29,23 +29,23 @@
     {
         /// Kept when its routers count as failed: a cut may last longer.
         DataCentreContact contact;
-        DataCentreReach reach = DataCentreReach::Reachable;
+        DataCentreReachability reach = DataCentreReachability::Reachable;
         /// When a probe last connected to an upstream there.
-        TimePoint connectedAt;
-        TimePoint probedAt;
+        TimePoint lastConnectedAt;
+        TimePoint lastProbedAt;
         /// Counts probes, which go to one upstream after the other.
-        std::size_t probes = 0;
+        std::size_t probeCount = 0;
     };
 
-    void judge(const std::string &dataCentre, Link &link, TimePoint now);
+    void evaluate(const std::string &dataCentre, Link &link, TimePoint now);
     /// Connects to an upstream there, without a request, unless one was tried a moment ago.
     void probe(const std::string &dataCentre, Link &link, std::span<UpstreamState *const> upstreams,
                TimePoint now);
 
     GatewayState &gateway;
-    const FleetLink &fleet;
+    const FleetGossip &fleet;
     std::map<std::string, Link> links;
-    TimePoint updatedAt;
+    TimePoint lastUpdateAt;
 };
 
 } // namespace plantainswitch::gateway
--- a/gateway/dialect.cpp
+++ b/gateway/dialect.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-std::string_view nameOf(StoreKind kind) noexcept
+std::string_view nameOf(StoreObjectKind kind) noexcept
 {
     return kindNames.at(static_cast<std::size_t>(kind));
 }
--- a/gateway/dialect.h
+++ b/gateway/dialect.h
@@ -26,26 +26,26 @@
     std::string path;
     std::string host;
     /// The caller's id of this attempt; no two attempts share one.
-    std::string attempt;
+    std::string attemptId;
     /// The key that proves the workspace; empty: none was sent.
-    std::string key;
+    std::string apiKey;
     /// How long the caller will wait, from when it sent the request.
-    std::optional<Milliseconds> budget;
+    std::optional<Milliseconds> timeBudget;
     std::optional<Prompt> prompt;
     /// The last event that the caller already has.
     std::optional<std::uint64_t> resumeAfter;
     /// Fields that go to the upstream unchanged.
-    std::vector<HeaderField> passedOn;
+    std::vector<HeaderField> forwardedFields;
     std::string body;
 };
 
 /// What the router adds to a request when it hands it to an upstream.
-struct Handover
+struct DispatchContext
 {
     const Replica *replica = nullptr;
     /// Another engine from whose memory the upstream may copy what it lacks of the prompt.
     std::optional<Endpoint> copyFrom;
-    Milliseconds left{0};
+    Milliseconds remainingTime{0};
     /// Empty for a request that needed no key.
     std::string_view workspace;
     std::uint32_t rank = 0;
@@ -61,13 +61,13 @@
 };
 
 /// The head of an upstream's answer, decoded once.
-struct UpstreamAnswer
+struct UpstreamResponse
 {
     int status = 0;
     /// The attempt that it answers; empty: it doesn't say.
-    std::string attempt;
+    std::string attemptId;
     /// The upstream states that it has not run the request and won't.
-    bool notRun = false;
+    bool notExecuted = false;
     /// Another upstream has the address now.
     bool misdirected = false;
     /// It bears the upstream's signature.
@@ -77,12 +77,12 @@
     bool isEventStream = false;
     std::optional<ReportedLoad> load;
     /// Fields that go to the caller unchanged.
-    std::vector<HeaderField> passedOn;
+    std::vector<HeaderField> forwardedFields;
 };
 
 /// Objects that the store of the platform keeps for the fleet.
-enum class StoreKind : std::uint8_t { Routing, Replicas, Routers };
-[[nodiscard]] std::string_view nameOf(StoreKind kind) noexcept;
+enum class StoreObjectKind : std::uint8_t { Routing, Replicas, Routers };
+[[nodiscard]] std::string_view nameOf(StoreObjectKind kind) noexcept;
 
 /// What a list of the store's objects may miss.
 enum class ReadConsistency : std::uint8_t {
@@ -92,7 +92,7 @@
 };
 
 /// One object of the store, still undecoded.
-struct StoreItem
+struct StoreObject
 {
     std::string name;
     bool deleted = false;
@@ -103,20 +103,20 @@
 };
 
 /// Which of a kind's objects some items are.
-enum class EntryScope : std::uint8_t {
+enum class UpdateScope : std::uint8_t {
     /// All there are: the others are gone.
-    All,
-    Changes,
+    Snapshot,
+    Incremental,
 };
 
 /// An answer of the store to a list or a watch.
-struct StoreAnswer
+struct StoreResponse
 {
-    std::vector<StoreItem> items;
+    std::vector<StoreObject> objects;
     /// Up to which all changes are included.
     std::uint64_t revision = 0;
     /// Further items follow after the last one.
-    bool more = false;
+    bool hasMore = false;
 };
 
 /// A router's address as the store keeps it.
@@ -134,12 +134,12 @@
     virtual ~Dialect() = default;
 
     /// Decodes a caller's request; nothing, with a reason, when it can't be served as it is.
-    [[nodiscard]] virtual std::optional<CallerRequest> readRequest(const MessageHead &head,
-                                                                   Reason &reason) const = 0;
+    [[nodiscard]] virtual std::optional<CallerRequest> parseRequest(const MessageHead &head,
+                                                                    Reason &reason) const = 0;
     /// \returns the head of \a request as the upstream gets it.
-    [[nodiscard]] virtual std::string writeRequest(const CallerRequest &request,
-                                                   const Handover &handover) const = 0;
-    [[nodiscard]] virtual UpstreamAnswer readAnswer(const MessageHead &head) const = 0;
+    [[nodiscard]] virtual std::string serializeRequest(const CallerRequest &request,
+                                                       const DispatchContext &handover) const = 0;
+    [[nodiscard]] virtual UpstreamResponse parseResponse(const MessageHead &head) const = 0;
     /// \returns the fields that a refusal of the router's own carries.
     [[nodiscard]] virtual std::vector<HeaderField>
     refusalFields(const CallerRequest *request, std::optional<Milliseconds> retryAfter) const = 0;
@@ -147,20 +147,22 @@
     [[nodiscard]] virtual int refusalStatus(ErrorKind kind) const = 0;
 
     /// \returns path and query of a call that lists objects, from the first one after \a after.
-    [[nodiscard]] virtual std::string listTarget(StoreKind kind, std::string_view after,
+    [[nodiscard]] virtual std::string listTarget(StoreObjectKind kind, std::string_view after,
                                                  ReadConsistency consistency) const = 0;
     /// \returns path and query of a call that waits for changes after \a revision.
-    [[nodiscard]] virtual std::string watchTarget(StoreKind kind, std::uint64_t revision,
+    [[nodiscard]] virtual std::string watchTarget(StoreObjectKind kind, std::uint64_t revision,
                                                   Milliseconds wait) const = 0;
-    [[nodiscard]] virtual std::optional<StoreAnswer> readList(std::string_view body) const = 0;
-    [[nodiscard]] virtual std::optional<StoreAnswer> readChanges(std::string_view body) const = 0;
-    [[nodiscard]] virtual std::optional<RoutingConfig> readRouting(const std::string &document,
-                                                                   std::string &fault) const = 0;
-    [[nodiscard]] virtual std::optional<Replica> readReplica(const StoreItem &item,
-                                                             std::string &fault) const = 0;
-    [[nodiscard]] virtual std::optional<RouterEntry> readRouter(const StoreItem &item) const = 0;
+    [[nodiscard]] virtual std::optional<StoreResponse> parseList(std::string_view body) const = 0;
+    [[nodiscard]] virtual std::optional<StoreResponse>
+    parseChanges(std::string_view body) const = 0;
+    [[nodiscard]] virtual std::optional<RoutingConfig> parseRouting(const std::string &document,
+                                                                    std::string &fault) const = 0;
+    [[nodiscard]] virtual std::optional<Replica> parseReplica(const StoreObject &item,
+                                                              std::string &fault) const = 0;
+    [[nodiscard]] virtual std::optional<RouterEntry>
+    parseRouterEntry(const StoreObject &item) const = 0;
     /// \returns the body of a call that writes this router's own entry.
-    [[nodiscard]] virtual std::string writeRouter(const RouterEntry &entry) const = 0;
+    [[nodiscard]] virtual std::string serializeRouterEntry(const RouterEntry &entry) const = 0;
 };
 
 } // namespace plantainswitch::gateway
--- a/gateway/fleetcoordination.cpp
+++ b/gateway/fleetcoordination.cpp
@@ -12,105 +12,110 @@
 
 } // namespace
 
-std::optional<Endpoint> FleetLink::keeperOf(std::uint64_t life) const
+std::optional<Endpoint> FleetGossip::coordinatorOf(std::uint64_t life) const
 {
-    const UpstreamState *const engine = this->gateway.upstreams.findLife(life);
-    const std::string place = engine == nullptr ? std::string() : engine->replica.place;
-    return this->contacts.keeperOf(life, place, this->gateway.stopping, this->gateway.clock.now());
+    const UpstreamState *const engine = this->gateway.upstreams.findIncarnation(life);
+    const std::string place = engine == nullptr ? std::string() : engine->replica.dataCentre;
+    return this->contacts.coordinatorOf(life, place, this->gateway.stopping,
+                                        this->gateway.clock.now());
 }
 
-void FleetLink::askKeeper(EngineQuestion question,
-                          std::function<void(std::optional<EngineAnswer>)> done)
+void FleetGossip::requestGrant(EngineGrantRequest question,
+                               std::function<void(std::optional<EngineGrantReply>)> done)
 {
-    const std::optional<Endpoint> address = this->keeperOf(question.life);
+    const std::optional<Endpoint> address = this->coordinatorOf(question.incarnation);
     if (!address) {
         question.router = toText(this->gateway.settings.peerDatagrams);
-        const std::uint32_t running = this->gateway.peers.at(question.life).running;
-        const EngineAnswer answer = this->keeper.ask(question, running, this->gateway.clock.now());
+        const std::uint32_t running = this->gateway.peerLoads.totalAt(question.incarnation).running;
+        const EngineGrantReply answer =
+            this->coordinator.requestGrant(question, running, this->gateway.clock.now());
         if (answer.granted) {
-            this->grantedBy[question.number] = this->gateway.settings.peerDatagrams;
+            this->grantors[question.requestId] = this->gateway.settings.peerDatagrams;
         }
         done(answer);
         return;
     }
     wire::GatewayDatagram datagram;
     wire::EngineAsk &ask = *datagram.mutable_ask();
-    ask.set_number(question.number);
-    ask.set_life(question.life);
-    ask.set_tokens(question.tokens);
-    ask.set_bound(static_cast<float>(question.bound));
-    for (const std::uint64_t part : question.chain) {
+    ask.set_number(question.requestId);
+    ask.set_life(question.incarnation);
+    ask.set_tokens(question.promptTokens);
+    ask.set_bound(static_cast<float>(question.loadBound));
+    for (const std::uint64_t part : question.prefixHashes) {
         ask.add_chain(part);
     }
     PendingAsk pending{std::move(done),
                        std::make_unique<asio::steady_timer>(this->gateway.context, keeperLimit)};
-    pending.timer->async_wait([this, number = question.number](const asio::error_code &error) {
-        const auto found = this->asks.find(number);
-        if (error || found == this->asks.end()) {
+    pending.timer->async_wait([this, number = question.requestId](const asio::error_code &error) {
+        const auto found = this->pendingGrantRequests.find(number);
+        if (error || found == this->pendingGrantRequests.end()) {
             return;
         }
         const auto waiting = std::move(found->second.done);
-        this->asks.erase(found);
+        this->pendingGrantRequests.erase(found);
         this->gateway.metrics.count(Counter::SlotAskTimeouts);
         waiting(std::nullopt);
     });
-    this->asks.emplace(question.number, std::move(pending));
-    this->grantedBy[question.number] = *address;
+    this->pendingGrantRequests.emplace(question.requestId, std::move(pending));
+    this->grantors[question.requestId] = *address;
     this->gateway.metrics.count(Counter::SlotAsks);
     this->sendTo(*address, datagram);
 }
 
-void FleetLink::onAsk(const wire::EngineAsk &message, const Endpoint &from)
+void FleetGossip::onAsk(const wire::EngineAsk &message, const Endpoint &from)
 {
-    EngineQuestion question;
+    EngineGrantRequest question;
     question.router = toText(from);
-    question.number = message.number();
-    question.life = message.life();
-    question.tokens = message.tokens();
-    question.bound = message.bound();
-    question.chain.assign(message.chain().begin(), message.chain().end());
-    const UpstreamState *const engine = this->gateway.upstreams.findLife(question.life);
+    question.requestId = message.number();
+    question.incarnation = message.life();
+    question.promptTokens = message.tokens();
+    question.loadBound = message.bound();
+    question.prefixHashes.assign(message.chain().begin(), message.chain().end());
+    const UpstreamState *const engine =
+        this->gateway.upstreams.findIncarnation(question.incarnation);
     const std::uint32_t own = engine == nullptr ? 0 : engine->ownRunning;
-    const std::uint32_t running = own + this->gateway.peers.at(question.life).running;
-    const EngineAnswer answer = this->keeper.ask(question, running, this->gateway.clock.now());
+    const std::uint32_t running =
+        own + this->gateway.peerLoads.totalAt(question.incarnation).running;
+    const EngineGrantReply answer =
+        this->coordinator.requestGrant(question, running, this->gateway.clock.now());
     wire::GatewayDatagram datagram;
     wire::EngineReply &reply = *datagram.mutable_reply();
-    reply.set_number(question.number);
-    reply.set_life(question.life);
+    reply.set_number(question.requestId);
+    reply.set_life(question.incarnation);
     reply.set_granted(answer.granted);
     reply.set_running(answer.running);
-    reply.set_unread_tokens(static_cast<std::uint32_t>(answer.unreadTokens));
-    reply.set_known_parts(answer.knownParts);
+    reply.set_unread_tokens(static_cast<std::uint32_t>(answer.pendingPrefillTokens));
+    reply.set_known_parts(answer.cachedParts);
     this->sendTo(from, datagram);
 }
 
-void FleetLink::onReply(const wire::EngineReply &message)
+void FleetGossip::onReply(const wire::EngineReply &message)
 {
-    const auto found = this->asks.find(message.number());
-    if (found == this->asks.end()) {
+    const auto found = this->pendingGrantRequests.find(message.number());
+    if (found == this->pendingGrantRequests.end()) {
         // Too late: the request was placed without it, or has ended.
-        this->endGrant(message.life(), message.number());
+        this->releaseGrant(message.life(), message.number());
         return;
     }
     const auto waiting = std::move(found->second.done);
-    this->asks.erase(found);
+    this->pendingGrantRequests.erase(found);
     if (!message.granted()) {
-        this->grantedBy.erase(message.number());
+        this->grantors.erase(message.number());
     }
-    waiting(EngineAnswer{message.granted(), message.running(),
-                         static_cast<double>(message.unread_tokens()), message.known_parts()});
+    waiting(EngineGrantReply{message.granted(), message.running(),
+                             static_cast<double>(message.unread_tokens()), message.known_parts()});
 }
 
-void FleetLink::endGrant(std::uint64_t life, std::uint64_t number)
+void FleetGossip::releaseGrant(std::uint64_t life, std::uint64_t number)
 {
-    const auto found = this->grantedBy.find(number);
-    if (found == this->grantedBy.end()) {
+    const auto found = this->grantors.find(number);
+    if (found == this->grantors.end()) {
         return;
     }
     const Endpoint address = found->second;
-    this->grantedBy.erase(found);
+    this->grantors.erase(found);
     if (address == this->gateway.settings.peerDatagrams) {
-        this->keeper.end(toText(address), number, life);
+        this->coordinator.releaseGrant(toText(address), number, life);
         return;
     }
     wire::GatewayDatagram datagram;
@@ -119,23 +124,23 @@
     this->sendTo(address, datagram);
 }
 
-void FleetLink::forgetGrants(const std::string &id)
+void FleetGossip::dropGrants(const std::string &id)
 {
     for (const Endpoint &address : this->contacts.addressesOf(id)) {
-        this->keeper.forgetRouter(toText(address));
+        this->coordinator.releaseRouter(toText(address));
     }
 }
 
-void FleetLink::reconcileGrants(const RouterUpdate &update)
+void FleetGossip::reconcileGrants(const RouterUpdate &update)
 {
     const std::string router =
         toText(Endpoint{this->sender.address().to_string(), this->sender.port()});
-    for (const std::uint64_t life : this->keeper.livesOf(router)) {
+    for (const std::uint64_t life : this->coordinator.incarnationsGrantedTo(router)) {
         std::uint32_t running = 0;
         for (const PeerLoad &load : update.loads) {
-            running += load.life == life ? load.running : 0;
+            running += load.incarnation == life ? load.running : 0;
         }
-        this->keeper.reconcile(router, life, running, this->gateway.clock.now());
+        this->coordinator.reconcile(router, life, running, this->gateway.clock.now());
     }
 }
 
--- a/gateway/fleetgossip.cpp
+++ b/gateway/fleetgossip.cpp
@@ -56,18 +56,18 @@
 
 } // namespace
 
-FleetLink::FleetLink(GatewayState &gateway, std::uint64_t incarnation,
-                     std::function<void()> onUpdate)
+FleetGossip::FleetGossip(GatewayState &gateway, std::uint64_t incarnation,
+                         std::function<void()> onUpdate)
     : gateway(gateway)
     , incarnation(incarnation)
     , onUpdate(std::move(onUpdate))
     , socket(gateway.context)
     , timer(gateway.context)
-    , contacts(gateway.settings.id, gateway.settings.place)
-    , keeper(ServiceFigures{}.prefillRate)
+    , contacts(gateway.settings.id, gateway.settings.dataCentre)
+    , coordinator(ServicePerformance{}.prefillRate)
 {}
 
-void FleetLink::start()
+void FleetGossip::start()
 {
     const Endpoint &own = this->gateway.settings.peerDatagrams;
     const asio::ip::udp::endpoint local(asio::ip::make_address(own.host), own.port);
@@ -86,7 +86,7 @@
     this->tick();
 }
 
-void FleetLink::stop()
+void FleetGossip::stop()
 {
     this->stopped = true;
     this->broadcast(BroadcastScope::All);
@@ -95,70 +95,70 @@
     this->socket.close(ignored);
 }
 
-Endpoint FleetLink::localEndpoint() const
+Endpoint FleetGossip::localEndpoint() const
 {
     return {this->gateway.settings.peerDatagrams.host, this->socket.local_endpoint().port()};
 }
 
-void FleetLink::addRouter(const Endpoint &datagrams)
+void FleetGossip::addRouter(const Endpoint &datagrams)
 {
     if (datagrams != this->gateway.settings.peerDatagrams) {
         this->contacts.add(datagrams, this->gateway.clock.now());
     }
 }
 
-std::optional<Endpoint> FleetLink::newerRouter() const
+std::optional<Endpoint> FleetGossip::newerRouter() const
 {
-    const auto best = this->contacts.newerRouter(this->knownVersion(), this->knownRevision(),
-                                                 this->sequence, this->gateway.clock.now());
+    const auto best = this->contacts.routerWithNewerState(
+        this->configVersion(), this->latestRevision(), this->sequence, this->gateway.clock.now());
     if (!best) {
         return std::nullopt;
     }
     return Endpoint{best->host, this->gateway.settings.peerCalls.port};
 }
 
-std::uint64_t FleetLink::knownVersion() const
+std::uint64_t FleetGossip::configVersion() const
 {
-    return this->gateway.table ? this->gateway.table->config().version : 0;
+    return this->gateway.routingTable ? this->gateway.routingTable->config().version : 0;
 }
 
-std::uint64_t FleetLink::knownRevision() const
+std::uint64_t FleetGossip::latestRevision() const
 {
-    const std::uint64_t own = this->gateway.followed.at(StoreKind::Replicas).position;
-    return std::max(own, this->gateway.view.revision);
+    const std::uint64_t own = this->gateway.syncStates.at(StoreObjectKind::Replicas).revision;
+    return std::max(own, this->gateway.storeView.revision);
 }
 
-std::size_t FleetLink::confirmRank() const
+std::size_t FleetGossip::confirmerRank() const
 {
-    return this->contacts.confirmRank(this->gateway.clock.now());
+    return this->contacts.confirmerRank(this->gateway.clock.now());
 }
 
-TimePoint FleetLink::confirmedAt(StoreKind kind) const
+TimePoint FleetGossip::confirmedAt(StoreObjectKind kind) const
 {
     const TimePoint now = this->gateway.clock.now();
-    return kind == StoreKind::Routing
-               ? this->contacts.configConfirmedAt(this->knownVersion(), now)
-               : this->contacts.upstreamsConfirmedAt(this->knownRevision(), now);
+    return kind == StoreObjectKind::Routing
+               ? this->contacts.configConfirmedAt(this->configVersion(), now)
+               : this->contacts.upstreamsConfirmedAt(this->latestRevision(), now);
 }
 
-bool FleetLink::isWatcherAlive() const
+bool FleetGossip::isWatcherAlive() const
 {
     return this->contacts.isWatcherAlive(this->gateway.clock.now());
 }
 
-std::optional<std::size_t> FleetLink::watchRank() const
+std::optional<std::size_t> FleetGossip::watchRank() const
 {
     return this->contacts.watchRank(this->gateway.clock.now());
 }
 
-bool FleetLink::isFirstFor(std::uint64_t key) const
+bool FleetGossip::isDesignatedFor(std::uint64_t key) const
 {
-    return this->contacts.isFirstFor(key, this->gateway.clock.now());
+    return this->contacts.isDesignatedFor(key, this->gateway.clock.now());
 }
 
-void FleetLink::scheduleBroadcast()
+void FleetGossip::scheduleBroadcast()
 {
-    this->nextScope = BroadcastScope::Near;
+    this->nextBroadcastScope = BroadcastScope::Local;
     const auto soon = std::chrono::steady_clock::now() + broadcastDelay;
     if (this->stopped || this->timer.expiry() <= soon) {
         return;
@@ -171,7 +171,7 @@
     });
 }
 
-void FleetLink::receive()
+void FleetGossip::receive()
 {
     this->socket.async_receive_from(asio::buffer(this->buffer), this->sender,
                                     [this](const asio::error_code &error, std::size_t size) {
@@ -186,7 +186,7 @@
                                     });
 }
 
-void FleetLink::onDatagram(std::size_t size)
+void FleetGossip::onDatagram(std::size_t size)
 {
     wire::GatewayDatagram datagram;
     const Endpoint from{this->sender.address().to_string(), this->sender.port()};
@@ -202,7 +202,8 @@
         this->onReply(datagram.reply());
         break;
     case wire::GatewayDatagram::kEnd:
-        this->keeper.end(toText(from), datagram.end().number(), datagram.end().life());
+        this->coordinator.releaseGrant(toText(from), datagram.end().number(),
+                                       datagram.end().life());
         break;
     case wire::GatewayDatagram::BODY_NOT_SET:
         logEvent(Event::DatagramInvalid, {{"from", toText(from)}});
@@ -210,7 +211,7 @@
     }
 }
 
-void FleetLink::sendTo(const Endpoint &address, const wire::GatewayDatagram &datagram)
+void FleetGossip::sendTo(const Endpoint &address, const wire::GatewayDatagram &datagram)
 {
     const std::string bytes = datagram.SerializeAsString();
     this->gateway.metrics.countSent(kindOf(datagram), bytes.size());
@@ -222,16 +223,16 @@
         asio::ip::udp::endpoint(asio::ip::make_address(address.host), address.port), 0, ignored);
 }
 
-void FleetLink::onUpdateMessage(const wire::RouterNews &message, const Endpoint &from)
+void FleetGossip::onUpdateMessage(const wire::RouterNews &message, const Endpoint &from)
 {
     if (message.id().empty()) {
         logEvent(Event::DatagramInvalid, {{"from", toText(from)}});
         return;
     }
     const TimePoint now = this->gateway.clock.now();
-    RouterContact &contact = this->contacts.noteSeen(from, now);
+    RouterContact &contact = this->contacts.recordReceived(from, now);
     contact.id = message.id();
-    contact.place = message.place();
+    contact.dataCentre = message.place();
     contact.configVersion = message.config_version();
     contact.aliveRouters = message.known_routers();
     contact.storeRevision = message.store_revision();
@@ -248,27 +249,27 @@
         update.loads.push_back({load.life(), load.running(), load.unread_tokens(),
                                 Milliseconds{load.avoided_ms()}, load.silent()});
     }
-    if (!this->gateway.peers.knows(update.id, update.incarnation)) {
-        this->welcome(from, update.id, message.known_routers());
+    if (!this->gateway.peerLoads.knows(update.id, update.incarnation)) {
+        this->sendInitialState(from, update.id, message.known_routers());
         logEvent(Event::MemberJoined, {{"member", update.id}, {"address", toText(from)}});
     }
-    if (!this->gateway.peers.take(update)) {
+    if (!this->gateway.peerLoads.applyUpdate(update)) {
         return;
     }
-    this->gateway.peersChanged = true;
+    this->gateway.peerLoadsChanged = true;
     this->reconcileGrants(update);
     for (const PeerLoad &load : update.loads) {
-        UpstreamState *const state = this->gateway.upstreams.findLife(load.life);
-        if (state != nullptr && load.avoided.count() > 0) {
-            recordPeerAvoidance(state->health, now + load.avoided, now);
+        UpstreamState *const state = this->gateway.upstreams.findIncarnation(load.incarnation);
+        if (state != nullptr && load.ejectedFor.count() > 0) {
+            recordPeerEjection(state->health, now + load.ejectedFor, now);
         }
-        if (state != nullptr && load.silent) {
-            recordPeerSilence(state->health, now);
+        if (state != nullptr && load.timedOut) {
+            recordPeerTimeout(state->health, now);
         }
     }
     for (const wire::ChainRead &read : message.chains()) {
-        this->gateway.upstreams.memory.noteShared(read.chain(), read.life(),
-                                                  now - Milliseconds{read.age_ms()});
+        this->gateway.upstreams.prefixIndex.recordSharedUse(read.chain(), read.life(),
+                                                            now - Milliseconds{read.age_ms()});
     }
     for (const wire::Endpoint &other : message.others()) {
         const auto endpoint = endpointOf(other.host() + ":" + std::to_string(other.port()));
@@ -276,124 +277,129 @@
             this->addRouter(*endpoint);
         }
     }
-    this->takeFigures(message, now);
-    this->takeSuspects(message, now);
+    this->applyPerformanceReports(message, now);
+    this->applyCrashUpdate(message, now);
     this->onUpdate();
 }
 
-void FleetLink::takeFigures(const wire::RouterNews &message, TimePoint now)
+void FleetGossip::applyPerformanceReports(const wire::RouterNews &message, TimePoint now)
 {
     for (const wire::FigureReport &entry : message.figures()) {
         const bool isRouted =
-            this->gateway.table && this->gateway.table->findService(entry.service()) != nullptr;
+            this->gateway.routingTable
+            && this->gateway.routingTable->findService(entry.service()) != nullptr;
         if (!isRouted) {
             continue;
         }
-        FigureReport report;
-        report.figures = {entry.prefill_rate(),      entry.base_delay(),
-                          entry.delay_per_running(), entry.transfer_rate(),
-                          entry.transfer_setup(),    entry.hold_time(),
-                          entry.tokens_per_request()};
+        PerformanceReport report;
+        report.performance = {entry.prefill_rate(),      entry.base_delay(),
+                              entry.delay_per_running(), entry.transfer_rate(),
+                              entry.transfer_setup(),    entry.hold_time(),
+                              entry.tokens_per_request()};
         report.prefillSamples = entry.prefill_samples();
         report.transferSamples = entry.transfer_samples();
-        report.holdSamples = entry.hold_samples();
-        this->gateway.estimators[entry.service()].takeReport(message.id(), report, now);
+        report.slotHoldSamples = entry.hold_samples();
+        this->gateway.estimators[entry.service()].applyReport(message.id(), report, now);
     }
 }
 
-void FleetLink::addFigures(wire::RouterNews &message) const
+void FleetGossip::appendPerformanceReports(wire::RouterNews &message) const
 {
     for (const auto &[service, estimator] : this->gateway.estimators) {
-        const FigureReport report = estimator.ownReport();
-        const double samples = report.prefillSamples + report.transferSamples + report.holdSamples;
+        const PerformanceReport report = estimator.ownReport();
+        const double samples =
+            report.prefillSamples + report.transferSamples + report.slotHoldSamples;
         if (samples <= 0.0 || message.figures_size() >= maxReportedServices) {
             continue;
         }
         wire::FigureReport *const entry = message.add_figures();
         entry->set_service(service);
-        entry->set_prefill_rate(static_cast<float>(report.figures.prefillRate));
-        entry->set_base_delay(static_cast<float>(report.figures.baseDelay));
-        entry->set_delay_per_running(static_cast<float>(report.figures.delayPerRunning));
-        entry->set_transfer_rate(static_cast<float>(report.figures.transferRate));
-        entry->set_transfer_setup(static_cast<float>(report.figures.transferSetup));
-        entry->set_hold_time(static_cast<float>(report.figures.holdTime));
-        entry->set_tokens_per_request(static_cast<float>(report.figures.tokensPerRequest));
+        entry->set_prefill_rate(static_cast<float>(report.performance.prefillRate));
+        entry->set_base_delay(static_cast<float>(report.performance.baseDelay));
+        entry->set_delay_per_running(static_cast<float>(report.performance.delayPerRunning));
+        entry->set_transfer_rate(static_cast<float>(report.performance.transferRate));
+        entry->set_transfer_setup(static_cast<float>(report.performance.transferSetup));
+        entry->set_hold_time(static_cast<float>(report.performance.slotHoldTime));
+        entry->set_tokens_per_request(static_cast<float>(report.performance.tokensPerRequest));
         entry->set_prefill_samples(static_cast<float>(report.prefillSamples));
         entry->set_transfer_samples(static_cast<float>(report.transferSamples));
-        entry->set_hold_samples(static_cast<float>(report.holdSamples));
+        entry->set_hold_samples(static_cast<float>(report.slotHoldSamples));
     }
 }
 
-void FleetLink::takeSuspects(const wire::RouterNews &message, TimePoint now)
+void FleetGossip::applyCrashUpdate(const wire::RouterNews &message, TimePoint now)
 {
     for (const wire::CrashSeen &crash : message.crashes()) {
         const TimePoint brokenAt = now - Milliseconds{crash.ago_ms()};
         const TimePoint begunAt = brokenAt - Milliseconds{crash.ran_ms()};
-        this->gateway.suspects.take({crash.request(), crash.life(), begunAt, brokenAt}, now);
+        this->gateway.crashQuarantine.recordCrash(
+            {crash.request(), crash.life(), begunAt, brokenAt}, now);
     }
     for (const std::uint64_t cleared : message.cleared()) {
-        this->gateway.suspects.clear(cleared, now);
+        this->gateway.crashQuarantine.clearSuspect(cleared, now);
     }
 }
 
-std::vector<PrefixReport> FleetLink::sharedPrefixes(TimePoint now) const
+std::vector<PrefixReport> FleetGossip::prefixSnapshot(TimePoint now) const
 {
     std::vector<PrefixReport> prefixes;
-    for (const PrefixUse &use : this->gateway.upstreams.memory.sharedUses(maxSnapshot, now)) {
-        prefixes.push_back(
-            {use.prefix, use.life, std::chrono::duration_cast<Milliseconds>(now - use.when)});
+    for (const PrefixUse &use :
+         this->gateway.upstreams.prefixIndex.recentSharedUses(maxSnapshot, now)) {
+        prefixes.push_back({use.prefix, use.incarnation,
+                            std::chrono::duration_cast<Milliseconds>(now - use.usedAt)});
     }
     return prefixes;
 }
 
-void FleetLink::welcome(const Endpoint &joining, const std::string &id, std::size_t knownThere)
+void FleetGossip::sendInitialState(const Endpoint &joining, const std::string &id,
+                                   std::size_t knownThere)
 {
     const TimePoint now = this->gateway.clock.now();
     RouterUpdate update = this->updateSince({});
-    update.suspects.crashes = this->gateway.suspects.heldCrashes(now);
+    update.crashUpdate.crashes = this->gateway.crashQuarantine.quarantinedCrashes(now);
     if (this->gateway.settings.mechanisms.prefixSnapshots
-        && this->contacts.isFirstFor(hashOf(id), now, id)) {
-        update.chains = this->sharedPrefixes(now);
+        && this->contacts.isDesignatedFor(hashOf(id), now, id)) {
+        update.prefixes = this->prefixSnapshot(now);
     }
     wire::GatewayDatagram datagram = this->encode(update);
     // Who knows nearly all needs no list: in a fleet that starts at once each gets updates of each.
     if (knownThere < this->contacts.aliveCount(now) / 2) {
-        this->addOthers(*datagram.mutable_news());
+        this->appendRouterAddresses(*datagram.mutable_news());
     }
-    this->addFigures(*datagram.mutable_news());
-    this->contacts.noteSent(joining, now);
+    this->appendPerformanceReports(*datagram.mutable_news());
+    this->contacts.recordSent(joining, now);
     this->sendTo(joining, datagram);
 }
 
-RouterUpdate FleetLink::updateSince(TimePoint since)
+RouterUpdate FleetGossip::updateSince(TimePoint since)
 {
     RouterUpdate update;
     update.id = this->gateway.settings.id;
     update.incarnation = this->incarnation;
     update.sequence = ++this->sequence;
-    update.configVersion = this->knownVersion();
+    update.configVersion = this->configVersion();
     update.stopping = this->stopped || this->gateway.stopping;
     const TimePoint now = this->gateway.clock.now();
     for (const auto &[id, state] : this->gateway.upstreams.all()) {
-        const bool avoided = state->health.ownAvoidUntil > now;
+        const bool avoided = state->health.ownEjectedUntil > now;
         const bool silent = isNewTimeout(state->health, since, now);
         if (state->ownRunning == 0 && !avoided && !silent) {
             continue;
         }
         update.loads.push_back(
-            {lifeOf(state->replica), state->ownRunning,
-             static_cast<std::uint32_t>(std::max(0.0, state->ownUnread)),
-             avoided ? std::chrono::duration_cast<Milliseconds>(state->health.ownAvoidUntil - now)
+            {incarnationOf(state->replica), state->ownRunning,
+             static_cast<std::uint32_t>(std::max(0.0, state->ownPendingPrefill)),
+             avoided ? std::chrono::duration_cast<Milliseconds>(state->health.ownEjectedUntil - now)
                      : Milliseconds{0},
              silent});
     }
     // Older chains are learnt by others from their own requests soon enough.
-    update.chains = this->gateway.updates.chainsSince(since, maxPrefixes);
-    update.suspects = this->gateway.updates.suspectsSince(since);
+    update.prefixes = this->gateway.updateLog.prefixesSince(since, maxPrefixes);
+    update.crashUpdate = this->gateway.updateLog.crashesSince(since);
     return update;
 }
 
-wire::GatewayDatagram FleetLink::encode(const RouterUpdate &update) const
+wire::GatewayDatagram FleetGossip::encode(const RouterUpdate &update) const
 {
     wire::GatewayDatagram datagram;
     wire::RouterNews &message = *datagram.mutable_news();
@@ -403,61 +409,61 @@
     message.set_sequence(update.sequence);
     message.set_config_version(update.configVersion);
     message.set_stopping(update.stopping);
-    message.set_place(this->gateway.settings.place);
-    message.set_store_connected(this->gateway.view.connected);
-    message.set_store_revision(this->gateway.view.revision);
+    message.set_place(this->gateway.settings.dataCentre);
+    message.set_store_connected(this->gateway.storeView.connected);
+    message.set_store_revision(this->gateway.storeView.revision);
     message.set_config_confirmed_ms(
-        ageOf(this->gateway.followed.at(StoreKind::Routing).confirmedAt, now));
+        ageOf(this->gateway.syncStates.at(StoreObjectKind::Routing).confirmedAt, now));
     message.set_upstreams_confirmed_ms(
-        ageOf(this->gateway.followed.at(StoreKind::Replicas).confirmedAt, now));
+        ageOf(this->gateway.syncStates.at(StoreObjectKind::Replicas).confirmedAt, now));
     message.set_known_routers(static_cast<std::uint32_t>(this->contacts.aliveCount(now)));
     for (const PeerLoad &load : update.loads) {
         wire::ReplicaLoad *const entry = message.add_loads();
-        entry->set_life(load.life);
+        entry->set_life(load.incarnation);
         entry->set_running(load.running);
-        entry->set_unread_tokens(load.unreadTokens);
-        entry->set_avoided_ms(static_cast<std::uint32_t>(load.avoided.count()));
-        entry->set_silent(load.silent);
+        entry->set_unread_tokens(load.pendingPrefillTokens);
+        entry->set_avoided_ms(static_cast<std::uint32_t>(load.ejectedFor.count()));
+        entry->set_silent(load.timedOut);
     }
-    for (const PrefixReport &chain : update.chains) {
+    for (const PrefixReport &chain : update.prefixes) {
         wire::ChainRead *const entry = message.add_chains();
-        entry->set_chain(chain.chain);
-        entry->set_life(chain.life);
+        entry->set_chain(chain.prefix);
+        entry->set_life(chain.incarnation);
         entry->set_age_ms(static_cast<std::uint32_t>(chain.age.count()));
     }
-    for (const CrashReport &report : update.suspects.crashes) {
+    for (const CrashReport &report : update.crashUpdate.crashes) {
         wire::CrashSeen *const entry = message.add_crashes();
         entry->set_request(report.request);
-        entry->set_life(report.life);
+        entry->set_life(report.incarnation);
         const auto ago = std::chrono::duration_cast<Milliseconds>(now - report.brokenAt);
         entry->set_ago_ms(static_cast<std::uint32_t>(ago.count()));
-        const auto ran = std::chrono::duration_cast<Milliseconds>(report.brokenAt - report.begunAt);
+        const auto ran = std::chrono::duration_cast<Milliseconds>(report.brokenAt - report.sentAt);
         entry->set_ran_ms(static_cast<std::uint32_t>(ran.count()));
     }
-    for (const RequestFingerprint cleared : update.suspects.cleared) {
+    for (const RequestFingerprint cleared : update.crashUpdate.cleared) {
         message.add_cleared(cleared);
     }
     return datagram;
 }
 
-void FleetLink::addOthers(wire::RouterNews &message) const
+void FleetGossip::appendRouterAddresses(wire::RouterNews &message) const
 {
     const TimePoint now = this->gateway.clock.now();
-    for (const Endpoint &address : this->contacts.someAlive(maxOthers, this->sequence, now)) {
+    for (const Endpoint &address : this->contacts.aliveSubset(maxOthers, this->sequence, now)) {
         wire::Endpoint *const entry = message.add_others();
         entry->set_host(address.host);
         entry->set_port(address.port);
     }
 }
 
-void FleetLink::broadcast(BroadcastScope scope)
+void FleetGossip::broadcast(BroadcastScope scope)
 {
     const TimePoint now = this->gateway.clock.now();
     const std::size_t alive = this->contacts.aliveCount(now);
-    for (const UpdateGroup &group : this->contacts.takeDue(scope, now)) {
-        wire::GatewayDatagram datagram = this->encode(this->updateSince(group.since));
+    for (const UpdateGroup &group : this->contacts.takeDueGroups(scope, now)) {
+        wire::GatewayDatagram datagram = this->encode(this->updateSince(group.lastSent));
         if (this->sequence % figuresEvery == 1) {
-            this->addFigures(*datagram.mutable_news());
+            this->appendPerformanceReports(*datagram.mutable_news());
         }
         const bool sharesOthers = this->sequence % othersEvery == 1;
         std::optional<wire::GatewayDatagram> withOthers;
@@ -468,29 +474,29 @@
             }
             if (!withOthers) {
                 withOthers = datagram;
-                this->addOthers(*withOthers->mutable_news());
+                this->appendRouterAddresses(*withOthers->mutable_news());
             }
             this->sendTo(address, *withOthers);
         }
     }
-    this->gateway.updates.forgetBefore(now - this->contacts.maxInterval() - gossipInterval);
+    this->gateway.updateLog.removeBefore(now - this->contacts.maxInterval() - gossipInterval);
 }
 
-void FleetLink::tick()
+void FleetGossip::tick()
 {
     if (this->stopped) {
         return;
     }
     const TimePoint now = this->gateway.clock.now();
-    this->contacts.forgetUnresponsive(now);
-    this->keeper.forgetIdle(now);
-    for (const std::string &gone : this->contacts.takeFailed(now)) {
-        this->gateway.peers.forget(gone);
+    this->contacts.removeUnresponsive(now);
+    this->coordinator.removeIdleEngines(now);
+    for (const std::string &gone : this->contacts.removeFailed(now)) {
+        this->gateway.peerLoads.removeRouter(gone);
         logEvent(Event::MemberGone, {{"member", gone}});
-        this->forgetGrants(gone);
-        this->gateway.peersChanged = true;
+        this->dropGrants(gone);
+        this->gateway.peerLoadsChanged = true;
     }
-    this->broadcast(std::exchange(this->nextScope, BroadcastScope::Due));
+    this->broadcast(std::exchange(this->nextBroadcastScope, BroadcastScope::Due));
     this->timer.expires_after(gossipInterval);
     this->timer.async_wait([this](const asio::error_code &error) {
         if (!error) {
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -33,75 +33,76 @@
 
 void GatewayState::refreshPeerLoads()
 {
-    if (!this->peersChanged) {
+    if (!this->peerLoadsChanged) {
         return;
     }
-    this->peersChanged = false;
+    this->peerLoadsChanged = false;
     for (const auto &[id, upstream] : this->upstreams.all()) {
-        const PeerLoads::Sum sum = this->peers.at(lifeOf(upstream->replica));
+        const PeerLoads::Total sum = this->peerLoads.totalAt(incarnationOf(upstream->replica));
         upstream->peersRunning = sum.running;
-        upstream->peersUnread = sum.unread;
+        upstream->peersPendingPrefill = sum.pendingPrefillTokens;
     }
 }
 
-void GatewayState::noteConfirmed(std::uint64_t revision, TimePoint now)
+void GatewayState::recordConfirmation(std::uint64_t revision, TimePoint now)
 {
-    for (auto &[kind, known] : this->followed) {
-        if (known.position >= revision) {
+    for (auto &[kind, known] : this->syncStates) {
+        if (known.revision >= revision) {
             known.confirmedAt = std::max(known.confirmedAt, now);
         }
     }
 }
 
-std::uint64_t GatewayState::newestPosition() const
+std::uint64_t GatewayState::latestRevision() const
 {
     std::uint64_t newest = 0;
-    for (const auto &[kind, known] : this->followed) {
-        newest = std::max(newest, known.position);
+    for (const auto &[kind, known] : this->syncStates) {
+        newest = std::max(newest, known.revision);
     }
     return newest;
 }
 
-void GatewayState::checkUpstream(const std::shared_ptr<UpstreamState> &upstream)
+void GatewayState::probeUpstream(const std::shared_ptr<UpstreamState> &upstream)
 {
-    if (upstream->isChecked) {
+    if (upstream->isBeingProbed) {
         return;
     }
-    upstream->isChecked = true;
+    upstream->isBeingProbed = true;
     const auto connection = std::make_shared<UpstreamConnection>(this->context, this->clock);
     connection->connect(
-        upstream->replica.endpoint, upstreamConnectLimit,
+        upstream->replica.endpoint, upstreamConnectTimeout,
         [this, upstream, connection](bool isConnected) {
-            upstream->isChecked = false;
+            upstream->isBeingProbed = false;
             logEvent(Event::UpstreamChecked, {{"upstream", upstream->replica.id},
                                               {"connected", isConnected ? "yes" : "no"}});
             if (isConnected) {
-                this->upstreams.giveBack(*upstream, connection);
+                this->upstreams.release(*upstream, connection);
                 return;
             }
             recordFault(upstream->health, UpstreamFault::Unreachable, this->clock.now());
-            this->noteDown(upstream->replica);
+            this->recordUpstreamDown(upstream->replica);
         });
 }
 
-void GatewayState::noteDown(const Replica &replica)
+void GatewayState::recordUpstreamDown(const Replica &replica)
 {
-    const auto reports = this->suspects.confirm(lifeOf(replica), this->clock.now());
+    const auto reports =
+        this->crashQuarantine.confirmCrash(incarnationOf(replica), this->clock.now());
     if (!reports.empty()) {
         // The caller may send the request again at once, at any router.
         this->fleet->scheduleBroadcast();
     }
     for (const CrashReport &report : reports) {
-        this->updates.noteCrash(report, this->clock.now());
+        this->updateLog.recordCrash(report, this->clock.now());
         logEvent(Event::UpstreamCrashed, {{"upstream", replica.id},
                                           {"fingerprint", fmt::format("{:016x}", report.request)}});
     }
 }
 
-void GatewayState::noteAnswered(RequestFingerprint request)
+void GatewayState::recordAnswered(RequestFingerprint request)
 {
-    if (this->suspects.clear(request, this->clock.now())) {
-        this->updates.noteCleared(request, this->clock.now());
+    if (this->crashQuarantine.clearSuspect(request, this->clock.now())) {
+        this->updateLog.recordCleared(request, this->clock.now());
     }
 }
 
@@ -109,9 +110,9 @@
                  SettingsSource source)
     : context(1)
     , state(this->context, clock, dialect, std::move(settings))
-    , source(std::move(source))
-    , settingsText(this->source ? this->source().value_or("") : "")
-    , log(this->context)
+    , settingsSource(std::move(source))
+    , settingsText(this->settingsSource ? this->settingsSource().value_or("") : "")
+    , logWriter(this->context)
     , callerAcceptor(this->context)
     , readinessAcceptor(this->context)
     , controlAcceptor(this->context)
@@ -120,61 +121,65 @@
     , fleet(this->state,
             static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch().count()),
             [this] {
-                this->dataCentres.update(this->state.clock.now());
-                this->catchUp();
+                this->dataCentreMonitor.update(this->state.clock.now());
+                this->fetchStoreView();
             })
-    , dataCentres(this->state, this->fleet)
-    , routing(this->state, StoreKind::Routing, freshnessWithin(this->state.settings.catchUpBound),
-              {[this](const std::vector<StoreItem> &items, TimePoint) { this->takeRouting(items); },
-               [this](const std::vector<StoreItem> &items, TimePoint) { this->takeRouting(items); },
-               [this] { return this->fleet.confirmRank(); },
-               [this] { return this->fleet.watchRank().value_or(0) > 0; }})
-    , replicas(this->state, StoreKind::Replicas,
-               // A leaving upstream is due after both spans: the store has to be back for the first
-               // before the second begins.
-               freshnessWithin(this->state.settings.catchUpBound + this->state.settings.drainBound),
-               {[this](const std::vector<StoreItem> &items, TimePoint keepUntil) {
-                    this->takeReplicaList(items, keepUntil);
-                },
-                [this](const std::vector<StoreItem> &items, TimePoint keepUntil) {
-                    this->takeReplicas(items, EntryScope::Changes, keepUntil);
-                },
-                [this] { return this->fleet.confirmRank(); },
-                [this] { return this->fleet.watchRank().value_or(0) > 0; }})
-    , announcer(this->state)
-    , catchUpClient(this->state)
+    , dataCentreMonitor(this->state, this->fleet)
+    , routingFollower(
+          this->state, StoreObjectKind::Routing,
+          freshnessWithin(this->state.settings.maxCatchUpTime),
+          {[this](const std::vector<StoreObject> &items, TimePoint) { this->applyRouting(items); },
+           [this](const std::vector<StoreObject> &items, TimePoint) { this->applyRouting(items); },
+           [this] { return this->fleet.confirmerRank(); },
+           [this] { return this->fleet.watchRank().value_or(0) > 0; }})
+    , replicaFollower(
+          this->state, StoreObjectKind::Replicas,
+          // A leaving upstream is due after both spans: the store has to be back for the first
+          // before the second begins.
+          freshnessWithin(this->state.settings.maxCatchUpTime + this->state.settings.maxDrainTime),
+          {[this](const std::vector<StoreObject> &items, TimePoint keepUntil) {
+               this->applyReplicaList(items, keepUntil);
+           },
+           [this](const std::vector<StoreObject> &items, TimePoint keepUntil) {
+               this->applyReplicaObjects(items, UpdateScope::Incremental, keepUntil);
+           },
+           [this] { return this->fleet.confirmerRank(); },
+           [this] { return this->fleet.watchRank().value_or(0) > 0; }})
+    , registrationClient(this->state)
+    , storeViewClient(this->state)
     , peerAcceptor(this->context)
 {
     this->state.fleet = &this->fleet;
-    startLogging(
-        this->state.settings.log, this->state.settings.id,
-        [this](Severity severity, const std::string &line) { this->log.take(severity, line); });
-    this->callerEvents.onRequest = [this](const std::shared_ptr<CallerConnection> &caller,
-                                          IncomingRequest incoming) {
+    startLogging(this->state.settings.log, this->state.settings.id,
+                 [this](Severity severity, const std::string &line) {
+                     this->logWriter.append(severity, line);
+                 });
+    this->callerHandlers.onRequest = [this](const std::shared_ptr<CallerConnection> &caller,
+                                            IncomingRequest incoming) {
         this->onRequest(caller, std::move(incoming));
     };
-    this->callerEvents.onGone = [this](CallerConnection &caller) {
+    this->callerHandlers.onDisconnected = [this](CallerConnection &caller) {
         const auto found = this->exchanges.find(caller.id());
         if (found != this->exchanges.end()) {
             const auto exchange = found->second;
-            exchange->onCallerGone();
+            exchange->onCallerDisconnected();
         }
     };
-    this->callerEvents.onClosed = [this](CallerConnection &caller) {
+    this->callerHandlers.onClosed = [this](CallerConnection &caller) {
         this->callers.erase(caller.id());
     };
-    this->callerEvents.onWritten = [this](CallerConnection &caller) {
+    this->callerHandlers.onWritten = [this](CallerConnection &caller) {
         const auto found = this->exchanges.find(caller.id());
         if (found != this->exchanges.end()) {
-            found->second->onCallerDrained();
+            found->second->onCallerWritable();
         }
     };
-    this->pageEvents.onRequest = [this](const std::shared_ptr<CallerConnection> &caller,
-                                        const IncomingRequest &incoming) {
-        this->onPage(caller, incoming);
+    this->internalHandlers.onRequest = [this](const std::shared_ptr<CallerConnection> &caller,
+                                              const IncomingRequest &incoming) {
+        this->onInternalRequest(caller, incoming);
     };
-    this->pageEvents.onGone = [](CallerConnection &) {};
-    this->pageEvents.onClosed = [this](CallerConnection &caller) {
+    this->internalHandlers.onDisconnected = [](CallerConnection &) {};
+    this->internalHandlers.onClosed = [this](CallerConnection &caller) {
         this->callers.erase(caller.id());
     };
     this->state.onExchangeDone = [this](const CallerConnection &caller) {
@@ -196,7 +201,7 @@
     acceptor.listen(listenQueue);
 }
 
-void Gateway::open()
+void Gateway::openListeners()
 {
     const GatewaySettings &settings = this->state.settings;
     this->listen(this->callerAcceptor, settings.callers);
@@ -212,12 +217,12 @@
     asio::post(this->context, std::move(work));
 }
 
-Endpoint Gateway::callersAt() const
+Endpoint Gateway::callerEndpoint() const
 {
     return {this->state.settings.callers.host, this->callerAcceptor.local_endpoint().port()};
 }
 
-Endpoint Gateway::readinessAt() const
+Endpoint Gateway::readinessEndpoint() const
 {
     return {this->state.settings.readiness.host, this->readinessAcceptor.local_endpoint().port()};
 }
@@ -225,18 +230,18 @@
 void Gateway::run()
 {
     const GatewaySettings &settings = this->state.settings;
-    logEvent(Event::Started, {{"place", settings.place},
+    logEvent(Event::Started, {{"place", settings.dataCentre},
                               {"callers", toText(settings.callers)},
                               {"store", toText(settings.store)}});
     if (!this->callerAcceptor.is_open()) {
-        this->open();
+        this->openListeners();
     }
     if (this->controlAcceptor.is_open()) {
-        this->acceptPages(this->controlAcceptor);
+        this->acceptInternal(this->controlAcceptor);
     }
-    this->acceptPages(this->peerAcceptor);
+    this->acceptInternal(this->peerAcceptor);
     this->acceptCallers();
-    this->acceptPages(this->readinessAcceptor);
+    this->acceptInternal(this->readinessAcceptor);
     for (const int signal : handledSignals) {
         this->signals.add(signal);
     }
@@ -246,13 +251,13 @@
     this->fleet.start();
     // A stale list is enough to begin with: those that watch list again, the others take what they
     // lack from a router that watches.
-    this->routing.start(ReadConsistency::Stale);
-    this->replicas.start(ReadConsistency::Stale);
+    this->routingFollower.start(ReadConsistency::Stale);
+    this->replicaFollower.start(ReadConsistency::Stale);
     this->tick();
     this->context.run();
     blockHandledSignals();
     logEvent(Event::Stopped, {});
-    this->log.flush();
+    this->logWriter.flush();
 }
 
 void Gateway::onSignal()
@@ -262,7 +267,7 @@
             return;
         }
         if (number == SIGHUP) {
-            this->reload(true);
+            this->reloadSettings(true);
         } else {
             this->stop();
         }
@@ -270,9 +275,9 @@
     });
 }
 
-void Gateway::reload(bool wasAsked)
+void Gateway::reloadSettings(bool wasAsked)
 {
-    const auto text = this->source ? this->source() : std::nullopt;
+    const auto text = this->settingsSource ? this->settingsSource() : std::nullopt;
     this->settingsReadAt = this->state.clock.now();
     const bool isSame = text && *text == this->settingsText;
     if (isSame && !wasAsked) {
@@ -295,11 +300,11 @@
     if (fresh->store != own.store) {
         changed += "store ";
     }
-    if (fresh->grace != own.grace) {
+    if (fresh->stopGrace != own.stopGrace) {
         changed += "graceSeconds ";
     }
     own.store = fresh->store;
-    own.grace = fresh->grace;
+    own.stopGrace = fresh->stopGrace;
     logEvent(Event::SettingsReloaded, {{"outcome", isSame ? "unchanged" : "taken"},
                                        {"changed", changed.empty() ? "nothing" : changed}});
 }
@@ -313,11 +318,12 @@
             }
             if (!error) {
                 prepareSocket(socket);
-                const CallerLimits limits =
-                    this->state.table ? this->state.table->config().limits : CallerLimits{};
+                const CallerLimits limits = this->state.routingTable
+                                                ? this->state.routingTable->config().limits
+                                                : CallerLimits{};
                 const auto caller = std::make_shared<CallerConnection>(
-                    this->nextCaller++, std::make_shared<ByteStream>(std::move(socket)), limits,
-                    this->callerEvents, this->state.clock);
+                    this->nextCallerId++, std::make_shared<ByteStream>(std::move(socket)), limits,
+                    this->callerHandlers, this->state.clock);
                 this->callers.emplace(caller->id(), caller);
                 caller->start();
             }
@@ -325,7 +331,7 @@
         });
 }
 
-void Gateway::acceptPages(Acceptor &acceptor)
+void Gateway::acceptInternal(Acceptor &acceptor)
 {
     acceptor.async_accept(
         [this, &acceptor](const asio::error_code &error, asio::ip::tcp::socket socket) {
@@ -335,20 +341,20 @@
             if (!error) {
                 prepareSocket(socket);
                 CallerLimits limits;
-                limits.headBytes = pageHeadBytes;
-                limits.bodyBytes = 0;
+                limits.maxHeaderBytes = pageHeadBytes;
+                limits.maxBodyBytes = 0;
                 const auto caller = std::make_shared<CallerConnection>(
-                    this->nextCaller++, std::make_shared<ByteStream>(std::move(socket)), limits,
-                    this->pageEvents, this->state.clock);
+                    this->nextCallerId++, std::make_shared<ByteStream>(std::move(socket)), limits,
+                    this->internalHandlers, this->state.clock);
                 this->callers.emplace(caller->id(), caller);
                 caller->start();
             }
-            this->acceptPages(acceptor);
+            this->acceptInternal(acceptor);
         });
 }
 
-void Gateway::onPage(const std::shared_ptr<CallerConnection> &caller,
-                     const IncomingRequest &incoming)
+void Gateway::onInternalRequest(const std::shared_ptr<CallerConnection> &caller,
+                                const IncomingRequest &incoming)
 {
     constexpr int ok = 200;
     constexpr int notFound = 404;
@@ -363,15 +369,16 @@
             this->state.metrics.render(this->state.clock.now()) + renderGauges(this->state), false);
         return;
     }
-    if (const auto question = questionOf(incoming.head.target)) {
-        const std::uint64_t version = this->state.table ? this->state.table->config().version : 0;
-        const std::string view = writeStoreView(this->state.view, version, *question);
+    if (const auto question = parseStoreViewQuery(incoming.head.target)) {
+        const std::uint64_t version =
+            this->state.routingTable ? this->state.routingTable->config().version : 0;
+        const std::string view = serializeStoreView(this->state.storeView, version, *question);
         const std::weak_ptr<CallerConnection> weak = caller;
         const auto hasLeft = [weak] {
             const auto taker = weak.lock();
             return !taker || taker->queuedBytes() == 0;
         };
-        if (!this->viewHandout.begin(view.size(), hasLeft)) {
+        if (!this->storeViewLimiter.tryBegin(view.size(), hasLeft)) {
             caller->respond(unavailable, {}, {}, false);
             return;
         }
@@ -384,17 +391,18 @@
 
 void Gateway::onRequest(const std::shared_ptr<CallerConnection> &caller, IncomingRequest incoming)
 {
-    const auto exchange = std::make_shared<Exchange>(this->state, caller, std::move(incoming));
+    const auto exchange =
+        std::make_shared<RequestHandler>(this->state, caller, std::move(incoming));
     this->exchanges[caller->id()] = exchange;
     exchange->start();
 }
 
 bool Gateway::isReady() const noexcept
 {
-    return this->state.table && this->state.directoryKnown && !this->state.stopping;
+    return this->state.routingTable && this->state.isDirectoryLoaded && !this->state.stopping;
 }
 
-void Gateway::watchReadiness()
+void Gateway::updateReadiness()
 {
     const bool ready = this->isReady();
     if (ready == this->wasReady) {
@@ -405,13 +413,13 @@
              {{"ready", ready ? "yes" : "no"}, {"stopping", this->state.stopping ? "yes" : "no"}});
 }
 
-void Gateway::notePause(TimePoint now)
+void Gateway::detectPause(TimePoint now)
 {
-    const auto pause = this->pauses.turn(now, this->state.clock.uptime(), now + tickPause);
+    const auto pause = this->pauseDetector.tick(now, this->state.clock.uptime(), now + tickPause);
     if (pause && pause->frozen > tickPause) {
         // The clock did not count that time: what was confirmed is older than it seems.
-        this->routing.listAnew();
-        this->replicas.listAnew();
+        this->routingFollower.relist();
+        this->replicaFollower.relist();
     }
     if (pause) {
         logEvent(Event::Paused, {{"frozen_ms", std::to_string(pause->frozen.count())},
@@ -422,9 +430,9 @@
 void Gateway::tick()
 {
     const TimePoint now = this->state.clock.now();
-    this->notePause(now);
+    this->detectPause(now);
     const CallerLimits limits =
-        this->state.table ? this->state.table->config().limits : CallerLimits{};
+        this->state.routingTable ? this->state.routingTable->config().limits : CallerLimits{};
     std::vector<std::shared_ptr<CallerConnection>> open;
     open.reserve(this->callers.size());
     for (const auto &[id, caller] : this->callers) {
@@ -433,22 +441,22 @@
     for (const auto &caller : open) {
         caller->enforceLimits(limits, now);
     }
-    this->state.upstreams.closeStale();
-    this->figureLog.update(this->state);
-    if (this->state.directory.hasMissing()) {
-        this->applyReplicas(this->state.directory.expire(now));
+    this->state.upstreams.closeIdle();
+    this->performanceLogger.update(this->state);
+    if (this->state.replicaDirectory.hasMissing()) {
+        this->applyReplicaEvents(this->state.replicaDirectory.removeExpired(now));
     }
-    this->decideWatching();
-    this->trackStore();
-    this->dataCentres.update(now);
+    this->updateWatchRole();
+    this->updateStoreConnection();
+    this->dataCentreMonitor.update(now);
     this->checkFreshness(now);
-    this->catchUp();
-    this->watchReadiness();
+    this->fetchStoreView();
+    this->updateReadiness();
     if (now - this->settingsReadAt > settingsPause) {
-        this->reload(false);
+        this->reloadSettings(false);
     }
     if (this->state.stopping) {
-        this->endStopIfIdle();
+        this->finishStopIfDrained();
     }
     this->timer.expires_after(tickPause);
     this->timer.async_wait([this](const asio::error_code &error) {
@@ -465,19 +473,19 @@
         return;
     }
     this->state.stopping = true;
-    this->stopBegan = this->state.clock.now();
+    this->stopStartedAt = this->state.clock.now();
     logEvent(Event::Stopping, {{"in_flight", std::to_string(this->exchanges.size())},
                                {"connections", std::to_string(this->callers.size())}});
-    this->watchReadiness();
+    this->updateReadiness();
 }
 
-void Gateway::endStopIfIdle()
+void Gateway::finishStopIfDrained()
 {
-    const Duration since = this->state.clock.now() - this->stopBegan;
+    const Duration since = this->state.clock.now() - this->stopStartedAt;
     if (since < stopLinger) {
         return;
     }
-    const bool forced = since > this->state.settings.grace - stopReserve;
+    const bool forced = since > this->state.settings.stopGrace - stopReserve;
     if (this->callerAcceptor.is_open()) {
         logEvent(Event::StopDraining, {{"in_flight", std::to_string(this->exchanges.size())}});
         this->callerAcceptor.close();
@@ -490,25 +498,25 @@
         caller->closeWhenIdle();
     }
     // One more turn after the last answer, in which its bytes leave.
-    const bool wasIdle = std::exchange(this->stopIdle, this->exchanges.empty());
+    const bool wasIdle = std::exchange(this->wasDrained, this->exchanges.empty());
     if (!(this->exchanges.empty() && wasIdle) && !forced) {
         return;
     }
-    this->end();
+    this->forceStop();
 }
 
-void Gateway::end()
+void Gateway::forceStop()
 {
-    std::vector<std::shared_ptr<Exchange>> running;
+    std::vector<std::shared_ptr<RequestHandler>> running;
     for (const auto &[id, exchange] : this->exchanges) {
         running.push_back(exchange);
     }
     for (const auto &exchange : running) {
-        exchange->cutShort();
+        exchange->abort();
     }
     this->fleet.stop();
-    this->routing.stop();
-    this->replicas.stop();
+    this->routingFollower.stop();
+    this->replicaFollower.stop();
     this->context.stop();
 }
 
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -36,95 +36,98 @@
     Gateway &operator=(const Gateway &) = delete;
 
     /// Opens all listening sockets; throws when an address can't be had.
-    void open();
+    void openListeners();
     /// Serves until a stop has ended. Opens first unless that was done.
     void run();
     /// Runs \a work on the loop's thread; the only call that other threads may make.
     void post(std::function<void()> work);
     /// Ends at once: what runs is cut.
-    void end();
+    void forceStop();
     /// \returns the address at which callers are served, once open.
-    [[nodiscard]] Endpoint callersAt() const;
+    [[nodiscard]] Endpoint callerEndpoint() const;
     /// \returns the address at which other routers are heard, once run.
-    [[nodiscard]] Endpoint datagramsAt() const { return this->fleet.localEndpoint(); }
+    [[nodiscard]] Endpoint datagramEndpoint() const { return this->fleet.localEndpoint(); }
     /// \returns the address at which the balancer asks, once open.
-    [[nodiscard]] Endpoint readinessAt() const;
+    [[nodiscard]] Endpoint readinessEndpoint() const;
     /// Begins a planned stop: not ready at once, what runs is finished, what comes is served
     /// until callers know.
     void stop();
 
-    [[nodiscard]] GatewayState &shared() noexcept { return this->state; }
+    [[nodiscard]] GatewayState &sharedState() noexcept { return this->state; }
 
 private:
     using Acceptor = asio::ip::tcp::acceptor;
 
     void listen(Acceptor &acceptor, const Endpoint &endpoint);
     void acceptCallers();
-    void acceptPages(Acceptor &acceptor);
-    void onPage(const std::shared_ptr<CallerConnection> &caller, const IncomingRequest &incoming);
+    void acceptInternal(Acceptor &acceptor);
+    void onInternalRequest(const std::shared_ptr<CallerConnection> &caller,
+                           const IncomingRequest &incoming);
     void onRequest(const std::shared_ptr<CallerConnection> &caller, IncomingRequest incoming);
     void onSignal();
     /// Tells of a time in which this process stood still.
-    void notePause(TimePoint now);
+    void detectPause(TimePoint now);
     void tick();
-    void watchReadiness();
+    void updateReadiness();
     void followStore();
-    void takeRouting(const std::vector<StoreItem> &items);
+    void applyRouting(const std::vector<StoreObject> &items);
     /// Takes the store's list of upstreams, unless other routers already know more.
-    void takeReplicaList(const std::vector<StoreItem> &items, TimePoint keepUntil);
-    void takeReplicas(const std::vector<StoreItem> &items, EntryScope scope, TimePoint keepUntil);
-    void applyReplicas(const std::vector<ReplicaEvent> &events);
-    void decideWatching();
-    void announce();
-    void findRouters();
-    void trackStore();
-    void catchUp();
+    void applyReplicaList(const std::vector<StoreObject> &items, TimePoint keepUntil);
+    void applyReplicaObjects(const std::vector<StoreObject> &items, UpdateScope scope,
+                             TimePoint keepUntil);
+    void applyReplicaEvents(const std::vector<ReplicaEvent> &events);
+    void updateWatchRole();
+    void registerRouter();
+    void discoverRouters();
+    void updateStoreConnection();
+    void fetchStoreView();
     /// Lists again what other routers know a newer state of, or what nobody has confirmed lately.
     void checkFreshness(TimePoint now);
     /// Lists again if other routers have known more than this one for a while.
-    void checkBehind(TimePoint now);
-    void takeCatchUp(const Endpoint &from, const ViewQuestion &question, const PlainReply &reply);
-    void endStopIfIdle();
+    void checkLag(TimePoint now);
+    void applyStoreView(const Endpoint &from, const StoreViewQuery &question,
+                        const CallReply &reply);
+    void finishStopIfDrained();
     /// Takes the settings file again if its text has changed.
-    void reload(bool wasAsked);
+    void reloadSettings(bool wasAsked);
     [[nodiscard]] bool isReady() const noexcept;
 
     asio::io_context context;
     GatewayState state;
-    SettingsSource source;
+    SettingsSource settingsSource;
     /// The settings file as it was read last.
     std::string settingsText;
     TimePoint settingsReadAt;
-    LogWriter log;
+    LogWriter logWriter;
     Acceptor callerAcceptor;
     Acceptor readinessAcceptor;
     Acceptor controlAcceptor;
     asio::signal_set signals;
     asio::steady_timer timer;
-    FigureLog figureLog;
-    FleetLink fleet;
-    DataCentreLinks dataCentres;
-    StoreFollower routing;
-    StoreFollower replicas;
-    PlainClient announcer;
-    PlainClient catchUpClient;
+    PerformanceLogger performanceLogger;
+    FleetGossip fleet;
+    DataCentreMonitor dataCentreMonitor;
+    StoreFollower routingFollower;
+    StoreFollower replicaFollower;
+    SequentialHttpClient registrationClient;
+    SequentialHttpClient storeViewClient;
     Acceptor peerAcceptor;
-    CallerEvents callerEvents;
-    CallerEvents pageEvents;
-    std::uint64_t nextCaller = 1;
+    CallerHandlers callerHandlers;
+    CallerHandlers internalHandlers;
+    std::uint64_t nextCallerId = 1;
     std::unordered_map<std::uint64_t, std::shared_ptr<CallerConnection>> callers;
-    std::unordered_map<std::uint64_t, std::shared_ptr<Exchange>> exchanges;
+    std::unordered_map<std::uint64_t, std::shared_ptr<RequestHandler>> exchanges;
     bool wasReady = false;
-    PauseWatch pauses;
+    PauseDetector pauseDetector;
     /// When a router that the store answers was last heard.
     TimePoint watcherLastSeen;
     TimePoint startedAt;
-    bool announced = false;
-    ViewHandout viewHandout;
+    bool isRegistered = false;
+    StoreViewLimiter storeViewLimiter;
     /// Since when other routers know more than this one's own watches have told.
-    std::optional<TimePoint> behindSince;
-    TimePoint stopBegan;
-    bool stopIdle = false;
+    std::optional<TimePoint> laggingSince;
+    TimePoint stopStartedAt;
+    bool wasDrained = false;
 };
 
 } // namespace plantainswitch::gateway
--- a/gateway/gatewayrequestdispatch.cpp
+++ b/gateway/gatewayrequestdispatch.cpp
@@ -19,252 +19,256 @@
 
 } // namespace
 
-void Exchange::place()
+void RequestHandler::selectAndDispatch()
 {
-    this->phase = Phase::Placing;
-    if (this->left() < leastTime) {
-        this->giveUp();
+    this->phase = Phase::Selecting;
+    if (this->remainingTime() < minRemainingTime) {
+        this->fail();
         return;
     }
     // The look at an earlier attempt must not strike while a keeper is asked for the next one.
     this->armTimer(this->deadline);
     this->gateway.refreshPeerLoads();
     const auto candidates = this->gateway.upstreams.ofService(this->service);
-    const ChoiceRequest wish{this->gateway.settings.place, hashOf(this->request->attempt),
-                             this->request->prompt ? &*this->request->prompt : nullptr, this->chain,
-                             this->tried};
-    ChoicePolicy policy = this->gateway.settings.choice;
+    const SelectionRequest wish{this->gateway.settings.dataCentre, hashOf(this->request->attemptId),
+                                this->request->prompt ? &*this->request->prompt : nullptr,
+                                this->prefixHashes, this->triedUpstreams};
+    SelectionPolicy policy = this->gateway.settings.choice;
     if (this->gateway.settings.mechanisms.estimates) {
-        policy.figures = this->gateway.estimators[this->service].figures(this->now());
+        policy.performance = this->gateway.estimators[this->service].performance(this->now());
     }
     const auto choice =
-        chooseUpstream(candidates, wish, this->gateway.upstreams.memory, policy, this->now());
+        selectUpstream(candidates, wish, this->gateway.upstreams.prefixIndex, policy, this->now());
     if (!choice) {
-        this->giveUp();
+        this->fail();
         return;
     }
-    if (!this->admitTo(*choice)) {
+    if (!this->passAdmissionControl(*choice)) {
         return;
     }
-    Placement placement{*choice, candidates[choice->index]->replica.id, {}, {}};
-    if (choice->copyFrom) {
-        const Replica &donor = candidates[*choice->copyFrom]->replica;
-        placement.donor = donor.id;
+    Selection placement{*choice, candidates[choice->index]->replica.id, {}, {}};
+    if (choice->transferSource) {
+        const Replica &donor = candidates[*choice->transferSource]->replica;
+        placement.donorId = donor.id;
         placement.copyFrom = donor.endpoint;
     }
-    if (!this->gateway.settings.mechanisms.exactCounts || this->chain.empty()
-        || this->keepersFull >= mostFullKeepers) {
-        this->handTo(placement);
+    if (!this->gateway.settings.mechanisms.exactCounts || this->prefixHashes.empty()
+        || this->coordinatorRejections >= mostFullKeepers) {
+        this->dispatchTo(placement);
         return;
     }
-    this->askKeeper(std::move(placement));
+    this->requestGrant(std::move(placement));
 }
 
-bool Exchange::admitTo(const Choice &choice)
+bool RequestHandler::passAdmissionControl(const UpstreamSelection &choice)
 {
     // A request that may have run can't be rejected as not run.
-    if (this->chain.empty() || this->runs > 0 || this->chunksBegun) {
+    if (this->prefixHashes.empty() || this->possibleExecutions > 0 || this->responseStarted) {
         return true;
     }
     AdmissionRequest asked;
     asked.expectedDelay = Milliseconds{static_cast<std::int64_t>(choice.expectedDelay)};
-    asked.patience = this->left();
+    asked.remainingTimeout = this->remainingTime();
     if (this->route->firstEventTimeout.count() > 0) {
-        const Duration waited = this->now() - this->incoming.arrived;
-        asked.patience = std::min(asked.patience, std::chrono::duration_cast<Milliseconds>(
-                                                      this->route->firstEventTimeout - waited));
+        const Duration waited = this->now() - this->incoming.receivedAt;
+        asked.remainingTimeout = std::min(
+            asked.remainingTimeout,
+            std::chrono::duration_cast<Milliseconds>(this->route->firstEventTimeout - waited));
     }
     asked.objective = this->route->objective;
-    asked.rank = this->rank;
+    asked.priority = this->rank;
     asked.occupancy = choice.occupancy;
-    asked.hash = hashOf(this->request->attempt);
-    const Admittance admittance = plantainswitch::admit(asked, this->gateway.settings.admission);
+    asked.jitterSeed = hashOf(this->request->attemptId);
+    const AdmissionDecision admittance =
+        plantainswitch::admit(asked, this->gateway.settings.admission);
     if (admittance.verdict == AdmissionVerdict::Admitted) {
         return true;
     }
     logEvent(Event::RequestNotAdmitted,
-             {{"request", this->request->attempt},
+             {{"request", this->request->attemptId},
               {"verdict", std::string(nameOf(admittance.verdict))},
               {"expected_ms", fmt::format("{:.1f}", choice.expectedDelay)},
-              {"patience_ms", std::to_string(asked.patience.count())},
+              {"patience_ms", std::to_string(asked.remainingTimeout.count())},
               {"objective_ms", std::to_string(asked.objective.count())},
-              {"rank", std::to_string(asked.rank)},
+              {"rank", std::to_string(asked.priority)},
               {"occupancy", fmt::format("{:.2f}", asked.occupancy)},
               {"retry_after_ms", std::to_string(admittance.retryAfter.count())}});
     this->refuse(ErrorKind::Overloaded, "the service is overloaded", admittance.retryAfter);
     return false;
 }
 
-void Exchange::askKeeper(Placement placement)
+void RequestHandler::requestGrant(Selection placement)
 {
-    const auto target = this->gateway.upstreams.share(placement.upstream);
-    EngineQuestion question;
-    question.number = this->gateway.fleet->nextNumber();
-    question.life = lifeOf(target->replica);
-    question.chain = this->chain;
-    question.tokens = tokensOf(*this->request->prompt);
-    question.bound = placement.choice.bound;
-    this->grant = question.number;
-    this->grantedLife = question.life;
-    const std::weak_ptr<Exchange> weak = this->weak_from_this();
-    this->gateway.fleet->askKeeper(
-        std::move(question),
-        [weak, placement = std::move(placement)](const std::optional<EngineAnswer> &keeperAnswer) {
-            const auto self = weak.lock();
-            if (self && self->phase == Phase::Placing) {
-                self->onKeeperAnswer(placement, keeperAnswer);
-            }
-        });
+    const auto target = this->gateway.upstreams.find(placement.upstreamId);
+    EngineGrantRequest question;
+    question.requestId = this->gateway.fleet->nextRequestId();
+    question.incarnation = incarnationOf(target->replica);
+    question.prefixHashes = this->prefixHashes;
+    question.promptTokens = tokensOf(*this->request->prompt);
+    question.loadBound = placement.choice.loadBound;
+    this->grantId = question.requestId;
+    this->grantedIncarnation = question.incarnation;
+    const std::weak_ptr<RequestHandler> weak = this->weak_from_this();
+    this->gateway.fleet->requestGrant(std::move(question),
+                                      [weak, placement = std::move(placement)](
+                                          const std::optional<EngineGrantReply> &keeperAnswer) {
+                                          const auto self = weak.lock();
+                                          if (self && self->phase == Phase::Selecting) {
+                                              self->onCoordinatorReply(placement, keeperAnswer);
+                                          }
+                                      });
 }
 
-void Exchange::onKeeperAnswer(Placement placement, const std::optional<EngineAnswer> &keeperAnswer)
+void RequestHandler::onCoordinatorReply(Selection placement,
+                                        const std::optional<EngineGrantReply> &keeperAnswer)
 {
-    const auto target = this->gateway.upstreams.share(placement.upstream);
-    if (!target || target->replica.leaving) {
-        this->endGrant();
-        this->place();
+    const auto target = this->gateway.upstreams.find(placement.upstreamId);
+    if (!target || target->replica.draining) {
+        this->releaseGrant();
+        this->selectAndDispatch();
         return;
     }
     if (!keeperAnswer) {
-        this->handTo(placement);
+        this->dispatchTo(placement);
         return;
     }
     const std::uint32_t others =
         keeperAnswer->running - std::min(keeperAnswer->running, target->ownRunning);
     target->peersRunning = others;
     if (!keeperAnswer->granted) {
-        this->grant = 0;
-        this->keepersFull += 1;
-        this->place();
+        this->grantId = 0;
+        this->coordinatorRejections += 1;
+        this->selectAndDispatch();
         return;
     }
     const double tokens = this->promptTokens();
     double cached = 0.0;
-    for (std::size_t i = 0; i < keeperAnswer->knownParts && i < this->chain.size(); ++i) {
+    for (std::size_t i = 0; i < keeperAnswer->cachedParts && i < this->prefixHashes.size(); ++i) {
         cached += this->request->prompt->parts[i].tokens;
     }
     placement.choice.uncachedTokens = std::min(placement.choice.uncachedTokens, tokens - cached);
-    this->handTo(placement);
+    this->dispatchTo(placement);
 }
 
-void Exchange::endGrant()
+void RequestHandler::releaseGrant()
 {
-    if (this->grant != 0) {
-        this->gateway.fleet->endGrant(this->grantedLife, this->grant);
-        this->grant = 0;
+    if (this->grantId != 0) {
+        this->gateway.fleet->releaseGrant(this->grantedIncarnation, this->grantId);
+        this->grantId = 0;
     }
 }
 
-double Exchange::promptTokens() const
+double RequestHandler::promptTokens() const
 {
     return this->request->prompt ? tokensOf(*this->request->prompt) : 0.0;
 }
 
-void Exchange::handTo(const Placement &placement)
+void RequestHandler::dispatchTo(const Selection &placement)
 {
-    const Choice &choice = placement.choice;
-    this->upstream = this->gateway.upstreams.share(placement.upstream);
+    const UpstreamSelection &choice = placement.choice;
+    this->upstream = this->gateway.upstreams.find(placement.upstreamId);
     UpstreamState &state = *this->upstream;
-    this->tried.push_back(state.replica.id);
-    this->sample = {choice.uncachedTokens, choice.copiedTokens,
-                    static_cast<double>(runningAt(state)), Duration{0}};
-    this->isFirstRead = choice.isFirstRead;
+    this->triedUpstreams.push_back(state.replica.id);
+    this->firstByteSample = {choice.uncachedTokens, choice.transferredTokens,
+                             static_cast<double>(runningAt(state)), Duration{0}};
+    this->isFirstPrefill = choice.isFirstPrefill;
     state.ownRunning += 1;
-    this->unread = choice.uncachedTokens;
-    this->holdsUnread = true;
-    state.ownUnread += this->unread;
+    this->pendingPrefillTokens = choice.uncachedTokens;
+    this->countsPendingPrefill = true;
+    state.ownPendingPrefill += this->pendingPrefillTokens;
     this->expectedDelay = choice.expectedDelay - choice.extraDelay;
     this->extraDelay = choice.extraDelay;
     logEvent(Event::RequestPlaced,
-             {{"request", this->request->attempt},
+             {{"request", this->request->attemptId},
               {"route", this->route->name},
-              {"config", std::to_string(this->table->config().version)},
+              {"config", std::to_string(this->routingTable->config().version)},
               {"upstream", state.replica.id},
-              {"place", state.replica.place},
+              {"place", state.replica.dataCentre},
               {"expected_ms", fmt::format("{:.1f}", choice.expectedDelay)},
               {"home", choice.isHome ? "yes" : "no"},
               {"home_ms", fmt::format("{:.1f}", choice.homeCost)},
               {"extra_ms", fmt::format("{:.1f}", extraDelayOf(state.health, this->now()))},
-              {"bound", fmt::format("{:.1f}", choice.bound)},
-              {"prefix", fmt::format("{:016x}", sharedChainOf(this->chain).value_or(0))},
+              {"bound", fmt::format("{:.1f}", choice.loadBound)},
+              {"prefix", fmt::format("{:016x}", sharedPrefixOf(this->prefixHashes).value_or(0))},
               {"tokens", fmt::format("{:.0f}", this->promptTokens())},
-              {"first_read", choice.isFirstRead ? "yes" : "no"},
+              {"first_read", choice.isFirstPrefill ? "yes" : "no"},
               {"uncached", fmt::format("{:.0f}", choice.uncachedTokens)},
-              {"copied", fmt::format("{:.0f}", choice.copiedTokens)},
-              {"donor", placement.donor},
+              {"copied", fmt::format("{:.0f}", choice.transferredTokens)},
+              {"donor", placement.donorId},
               {"own", std::to_string(state.ownRunning)},
               {"peers", std::to_string(state.peersRunning)},
-              {"avoided", std::to_string(choice.avoided)},
-              {"over_bound", std::to_string(choice.overBound)},
-              {"left_ms", std::to_string(this->left().count())}});
-    this->send(this->upstream, placement.copyFrom);
+              {"avoided", std::to_string(choice.ejectedCount)},
+              {"over_bound", std::to_string(choice.overBoundCount)},
+              {"left_ms", std::to_string(this->remainingTime().count())}});
+    this->sendRequest(this->upstream, placement.copyFrom);
 }
 
-void Exchange::send(const std::shared_ptr<UpstreamState> &target,
-                    const std::optional<Endpoint> &copyFrom)
+void RequestHandler::sendRequest(const std::shared_ptr<UpstreamState> &target,
+                                 const std::optional<Endpoint> &copyFrom)
 {
-    this->phase = Phase::Waiting;
-    this->sawHead = false;
-    this->sawFirstByte = false;
-    this->body.clear();
+    this->phase = Phase::AwaitingResponse;
+    this->headReceived = false;
+    this->firstByteReceived = false;
+    this->responseBody.clear();
     this->sentAt = this->now();
-    if (!this->chain.empty()) {
-        this->noteChain(lifeOf(target->replica));
+    if (!this->prefixHashes.empty()) {
+        this->recordPrefix(incarnationOf(target->replica));
     }
-    Handover handover;
+    DispatchContext handover;
     handover.replica = &target->replica;
     handover.copyFrom = copyFrom;
-    handover.left = this->left();
+    handover.remainingTime = this->remainingTime();
     handover.workspace = this->workspace;
     handover.rank = this->rank;
     handover.resumeAfter =
-        this->events.lastId() ? this->events.lastId() : this->request->resumeAfter;
-    std::string bytes = this->gateway.dialect.writeRequest(*this->request, handover);
+        this->eventRelay.lastId() ? this->eventRelay.lastId() : this->request->resumeAfter;
+    std::string bytes = this->gateway.dialect.serializeRequest(*this->request, handover);
     bytes.append(this->request->body);
     const bool isHead = this->request->method == "HEAD";
-    this->armTimer(this->nextLook());
-    this->connection = this->gateway.upstreams.takeIdle(*target, mayRepeat(*this->route));
+    this->armTimer(this->silenceDeadline());
+    this->connection = this->gateway.upstreams.acquireIdle(*target, isRetryable(*this->route));
     if (this->connection) {
-        this->path = "reused";
-        this->connection->send(bytes, this->answerEvents(), isHead);
+        this->connectionPath = "reused";
+        this->connection->send(bytes, this->responseHandlers(), isHead);
         return;
     }
-    this->path = "new";
+    this->connectionPath = "new";
     this->connection =
         std::make_shared<UpstreamConnection>(this->gateway.context, this->gateway.clock);
-    this->connection->open(target->replica.endpoint, std::min(upstreamConnectLimit, this->left()),
-                           std::move(bytes), this->answerEvents(), isHead);
+    this->connection->connectAndSend(target->replica.endpoint,
+                                     std::min(upstreamConnectTimeout, this->remainingTime()),
+                                     std::move(bytes), this->responseHandlers(), isHead);
 }
 
-void Exchange::noteChain(std::uint64_t life)
+void RequestHandler::recordPrefix(std::uint64_t life)
 {
-    ChainMemory &memory = this->gateway.upstreams.memory;
+    PrefixIndex &memory = this->gateway.upstreams.prefixIndex;
     // Whoever has this chat next finds its engine by the shared parts.
-    const auto shared = sharedChainOf(this->chain);
+    const auto shared = sharedPrefixOf(this->prefixHashes);
     if (shared && !memory.wasUsed(*shared, life, chainNewsSpan, this->sentAt)) {
-        this->gateway.updates.noteChain({*shared, life}, this->sentAt);
+        this->gateway.updateLog.recordPrefix({*shared, life}, this->sentAt);
     }
-    memory.note(this->chain, life, this->sentAt);
+    memory.recordUse(this->prefixHashes, life, this->sentAt);
     if (shared) {
-        memory.noteShared(*shared, life, this->sentAt);
+        memory.recordSharedUse(*shared, life, this->sentAt);
     }
 }
 
-AnswerEvents Exchange::answerEvents()
+ResponseHandlers RequestHandler::responseHandlers()
 {
-    const std::weak_ptr<Exchange> weak = this->weak_from_this();
+    const std::weak_ptr<RequestHandler> weak = this->weak_from_this();
     return {[weak](const MessageHead &head) {
                 const auto self = weak.lock();
-                return !self || self->onAnswerHead(head);
+                return !self || self->onResponseHead(head);
             },
             [weak](std::string_view bytes) {
                 if (const auto self = weak.lock()) {
-                    self->onAnswerBody(bytes);
+                    self->onResponseBody(bytes);
                 }
             },
-            [weak](AnswerEnd end) {
+            [weak](ResponseOutcome end) {
                 if (const auto self = weak.lock()) {
-                    self->onAnswerEnd(end);
+                    self->onResponseEnd(end);
                 }
             }};
 }
--- a/gateway/gatewayrequesthandler.cpp
+++ b/gateway/gatewayrequesthandler.cpp
@@ -33,29 +33,29 @@
 
 } // namespace
 
-Exchange::Exchange(GatewayState &gateway, std::shared_ptr<CallerConnection> caller,
-                   IncomingRequest incoming)
+RequestHandler::RequestHandler(GatewayState &gateway, std::shared_ptr<CallerConnection> caller,
+                               IncomingRequest incoming)
     : gateway(gateway)
     , caller(std::move(caller))
     , incoming(std::move(incoming))
     , timer(gateway.context)
 {}
 
-void Exchange::start()
+void RequestHandler::start()
 {
     this->gateway.metrics.count(Counter::Requests);
-    if (!this->admit()) {
+    if (!this->prepare()) {
         return;
     }
-    this->place();
+    this->selectAndDispatch();
 }
 
-bool Exchange::admit()
+bool RequestHandler::prepare()
 {
     Reason reason;
-    this->request = this->gateway.dialect.readRequest(this->incoming.head, reason);
-    this->table = this->gateway.table;
-    if (!this->table) {
+    this->request = this->gateway.dialect.parseRequest(this->incoming.head, reason);
+    this->routingTable = this->gateway.routingTable;
+    if (!this->routingTable) {
         this->refuse(ErrorKind::NoCatalogue, "no routing configuration yet", comeBackAfter);
         return false;
     }
@@ -64,35 +64,36 @@
         return false;
     }
     this->request->body = std::move(this->incoming.body);
-    this->route = this->table->findRoute(this->request->host, this->request->path);
+    this->route = this->routingTable->findRoute(this->request->host, this->request->path);
     if (this->route == nullptr) {
         this->refuse(ErrorKind::NotFound, "no route");
         return false;
     }
     const RoutedWorkspace *holder = nullptr;
-    if (!this->route->anonymous && this->table->config().asksKeys) {
-        holder = this->table->findWorkspace(this->request->key);
+    if (!this->route->allowsAnonymous && this->routingTable->config().requiresKeys) {
+        holder = this->routingTable->findWorkspace(this->request->apiKey);
         if (holder == nullptr) {
             this->refuse(ErrorKind::Unauthorized, "unknown key");
             return false;
         }
         this->workspace = holder->name;
     }
-    this->rank = rankOf(*this->route, holder);
-    this->service = serviceOf(*this->route, hashOf(this->request->attempt));
-    this->deadline = this->incoming.arrived + this->request->budget.value_or(this->route->timeout);
+    this->rank = requestPriority(*this->route, holder);
+    this->service = serviceOf(*this->route, hashOf(this->request->attemptId));
+    this->deadline =
+        this->incoming.receivedAt + this->request->timeBudget.value_or(this->route->timeout);
     if (this->route->timeout.count() > 0) {
-        this->deadline = std::min(this->deadline, this->incoming.arrived + this->route->timeout);
+        this->deadline = std::min(this->deadline, this->incoming.receivedAt + this->route->timeout);
     }
     if (this->request->prompt) {
-        this->chain = chainOf(*this->request->prompt);
+        this->prefixHashes = prefixHashesOf(*this->request->prompt);
     }
-    this->gateway.retries.earn(this->service, this->gateway.routers(), this->now());
+    this->gateway.retryBudgets.deposit(this->service, this->gateway.routerCount(), this->now());
     this->fingerprint = mixHash(hashOf(this->request->target, hashOf(this->workspace)),
                                 hashOf(this->request->body));
-    if (this->isHeldBack()) {
+    if (this->isQuarantined()) {
         logEvent(Event::RequestQuarantined,
-                 {{"request", this->request->attempt},
+                 {{"request", this->request->attemptId},
                   {"fingerprint", fmt::format("{:016x}", this->fingerprint)}});
         this->refuse(ErrorKind::Quarantined, "upstreams crashed on it");
         return false;
@@ -100,42 +101,43 @@
     return true;
 }
 
-bool Exchange::isHeldBack()
+bool RequestHandler::isQuarantined()
 {
-    CrashSuspects &suspects = this->gateway.suspects;
+    CrashQuarantine &suspects = this->gateway.crashQuarantine;
     if (!this->gateway.settings.mechanisms.quarantine
-        || !suspects.isHeld(this->fingerprint, this->now())) {
+        || !suspects.isQuarantined(this->fingerprint, this->now())) {
         return false;
     }
-    const bool isFirst = this->gateway.fleet->isFirstFor(this->fingerprint);
-    return !suspects.letThrough(this->fingerprint, isFirst, this->now());
+    const bool isFirst = this->gateway.fleet->isDesignatedFor(this->fingerprint);
+    return !suspects.allowTrial(this->fingerprint, isFirst, this->now());
 }
 
-Milliseconds Exchange::left() const
+Milliseconds RequestHandler::remainingTime() const
 {
     return std::chrono::duration_cast<Milliseconds>(this->deadline - this->now());
 }
 
-TimePoint Exchange::nextLook() const
+TimePoint RequestHandler::silenceDeadline() const
 {
     using FloatMilliseconds = std::chrono::duration<double, std::milli>;
-    if (this->phase == Phase::Waiting) {
+    if (this->phase == Phase::AwaitingResponse) {
         const double allowed =
             std::max(static_cast<double>(leastSilence.count()),
                      silentPartOfObjective * FloatMilliseconds(this->route->objective).count())
             + this->expectedDelay + this->extraDelay;
         return this->sentAt + std::chrono::duration_cast<Duration>(FloatMilliseconds(allowed));
     }
-    if (this->phase == Phase::Relaying && this->route->longestPause.count() > 0) {
+    if (this->phase == Phase::Relaying && this->route->maxEventInterval.count() > 0) {
         return this->now()
-               + std::chrono::duration_cast<Duration>(stalledPauses * this->route->longestPause);
+               + std::chrono::duration_cast<Duration>(stalledPauses
+                                                      * this->route->maxEventInterval);
     }
     return this->deadline;
 }
 
-void Exchange::armTimer(TimePoint due)
+void RequestHandler::armTimer(TimePoint due)
 {
-    const std::weak_ptr<Exchange> weak = this->weak_from_this();
+    const std::weak_ptr<RequestHandler> weak = this->weak_from_this();
     this->timer.expires_at(std::min(due, this->deadline));
     this->timer.async_wait([weak](const asio::error_code &error) {
         const auto self = weak.lock();
@@ -145,10 +147,10 @@
     });
 }
 
-void Exchange::onTimer()
+void RequestHandler::onTimer()
 {
     if (this->now() >= this->deadline) {
-        this->giveUp();
+        this->fail();
         return;
     }
     if (!this->upstream) {
@@ -156,106 +158,110 @@
         return;
     }
     const Duration silent = this->now() - this->sentAt;
-    const bool isBusy = this->phase == Phase::Waiting
-                        && judgeSilence(this->sentAt, this->upstream->lastHeard) == Silence::Busy;
+    const bool isBusy =
+        this->phase == Phase::AwaitingResponse
+        && classifyTimeout(this->sentAt, this->upstream->lastReceived) == TimeoutCause::Busy;
     if (isBusy && silent < busyPatience * this->route->objective) {
         this->armTimer(this->sentAt + busyPatience * this->route->objective);
         return;
     }
     if (!isBusy) {
-        this->recordUpstreamFault(UpstreamFault::Silent);
+        this->recordUpstreamFault(UpstreamFault::TimedOut);
     }
-    if (this->mayRunAgain() && this->tryAgain(isBusy ? "busy" : "silent")) {
+    if (this->canRetry() && this->retry(isBusy ? "busy" : "silent")) {
         return;
     }
     // Nothing better is allowed: the answer may still come.
     this->armTimer(this->deadline);
 }
 
-void Exchange::recordUpstreamFault(UpstreamFault fault)
+void RequestHandler::recordUpstreamFault(UpstreamFault fault)
 {
     const TimePoint now = this->now();
-    const bool wasAvoided = isAvoided(this->upstream->health, now);
+    const bool wasAvoided = isEjected(this->upstream->health, now);
     recordFault(this->upstream->health, fault, now);
-    const bool isNews = !wasAvoided && isAvoided(this->upstream->health, now);
+    const bool isNews = !wasAvoided && isEjected(this->upstream->health, now);
     logEvent(isNews ? Event::UpstreamAvoided : Event::UpstreamFaulty,
              {{"upstream", this->upstream->replica.id},
-              {"request", this->request->attempt},
+              {"request", this->request->attemptId},
               {"why", std::string(nameOf(fault))},
-              {"path", this->path},
+              {"path", this->connectionPath},
               {"after_ms", millisecondsText(now - this->sentAt)},
-              {"failure_share", fmt::format("{:.2f}", this->upstream->health.failureShare)}});
+              {"failure_share", fmt::format("{:.2f}", this->upstream->health.failureRate)}});
 }
 
-bool Exchange::mayRunAgain() const
+bool RequestHandler::canRetry() const
 {
     // What is held back has taken down enough upstreams: the attempt that it was let through for
     // was its only one.
-    return this->gateway.settings.mechanisms.retries && mayRepeat(*this->route)
-           && this->runs + 1 < this->route->maxAttempts
-           && !this->gateway.suspects.isHeld(this->fingerprint, this->now());
+    return this->gateway.settings.mechanisms.retries && isRetryable(*this->route)
+           && this->possibleExecutions + 1 < this->route->maxAttempts
+           && !this->gateway.crashQuarantine.isQuarantined(this->fingerprint, this->now());
 }
 
-bool Exchange::tryAgain(std::string_view why)
+bool RequestHandler::retry(std::string_view why)
 {
-    if (this->left() < leastTime
-        || !this->gateway.retries.spend(this->service, this->gateway.routers(), this->now())) {
-        logEvent(Event::RetryBudgetSpent, {{"request", this->request->attempt},
-                                           {"service", this->service},
-                                           {"left_ms", std::to_string(this->left().count())}});
+    if (this->remainingTime() < minRemainingTime
+        || !this->gateway.retryBudgets.tryWithdraw(this->service, this->gateway.routerCount(),
+                                                   this->now())) {
+        logEvent(Event::RetryBudgetSpent,
+                 {{"request", this->request->attemptId},
+                  {"service", this->service},
+                  {"left_ms", std::to_string(this->remainingTime().count())}});
         return false;
     }
-    if (!this->answer.notRun || !this->sawHead) {
-        this->runs += 1;
+    if (!this->response.notExecuted || !this->headReceived) {
+        this->possibleExecutions += 1;
     }
-    this->leaveUpstream();
-    this->keepersFull = 0;
-    this->events.dropPartial();
+    this->releaseUpstream();
+    this->coordinatorRejections = 0;
+    this->eventRelay.dropPartial();
     this->logRetry(why);
     this->gateway.metrics.count(Counter::Retries);
-    this->place();
+    this->selectAndDispatch();
     return true;
 }
 
-void Exchange::logRetry(std::string_view why) const
+void RequestHandler::logRetry(std::string_view why) const
 {
     logEvent(Event::RequestRetried,
-             {{"request", this->request->attempt},
+             {{"request", this->request->attemptId},
               {"why", std::string(why)},
-              {"last", this->tried.empty() ? std::string() : this->tried.back()},
-              {"budget_left", fmt::format("{:.1f}", this->gateway.retries.left(this->service))},
-              {"left_ms", std::to_string(this->left().count())}});
+              {"last", this->triedUpstreams.empty() ? std::string() : this->triedUpstreams.back()},
+              {"budget_left",
+               fmt::format("{:.1f}", this->gateway.retryBudgets.remaining(this->service))},
+              {"left_ms", std::to_string(this->remainingTime().count())}});
 }
 
-void Exchange::leaveUpstream()
+void RequestHandler::releaseUpstream()
 {
     if (this->connection) {
-        this->connection->drop();
+        this->connection->abort();
         this->connection.reset();
     }
-    this->endGrant();
+    this->releaseGrant();
     if (!this->upstream) {
         return;
     }
     this->upstream->ownRunning -= 1;
-    if (this->holdsUnread) {
-        this->upstream->ownUnread -= this->unread;
-        this->holdsUnread = false;
+    if (this->countsPendingPrefill) {
+        this->upstream->ownPendingPrefill -= this->pendingPrefillTokens;
+        this->countsPendingPrefill = false;
     }
     this->upstream.reset();
 }
 
-void Exchange::giveUp()
+void RequestHandler::fail()
 {
-    if (this->failure) {
+    if (this->failedResponse) {
         // An upstream has answered, if with a failure: that says more than an answer of our own.
-        this->passFailureOn();
+        this->forwardFailure();
         return;
     }
-    const bool isOver = this->now() + leastTime >= this->deadline;
-    const bool mayHaveRun = this->runs > 0
-                            || (this->upstream && this->phase != Phase::Placing
-                                && !(this->sawHead && this->answer.notRun));
+    const bool isOver = this->now() + minRemainingTime >= this->deadline;
+    const bool mayHaveRun = this->possibleExecutions > 0
+                            || (this->upstream && this->phase != Phase::Selecting
+                                && !(this->headReceived && this->response.notExecuted));
     if (mayHaveRun) {
         this->refuse(isOver ? ErrorKind::DeadlineExceeded : ErrorKind::UpstreamFailed,
                      isOver ? "no answer in time" : "the upstream failed");
@@ -268,76 +274,78 @@
     }
 }
 
-void Exchange::refuse(ErrorKind kind, std::string_view why, std::optional<Milliseconds> retryAfter)
+void RequestHandler::refuse(ErrorKind kind, std::string_view why,
+                            std::optional<Milliseconds> retryAfter)
 {
-    this->leaveUpstream();
+    this->releaseUpstream();
     this->gateway.metrics.countRefusal(kind);
-    if (this->chunksBegun) {
+    if (this->responseStarted) {
         this->caller->abort();
         this->finish("cut");
         return;
     }
     const CallerRequest *const known = this->request ? &*this->request : nullptr;
     logEvent(Event::RequestRefused,
-             {{"request", known != nullptr ? known->attempt : std::string()},
+             {{"request", known != nullptr ? known->attemptId : std::string()},
               {"kind", std::string(errorRow(kind).name)},
               {"why", std::string(why)},
               {"host", known != nullptr ? known->host : std::string()},
               {"path", known != nullptr ? known->path.substr(0, 60) : std::string()},
-              {"config",
-               this->table ? std::to_string(this->table->config().version) : std::string("none")},
-              {"runs", std::to_string(this->runs)}});
+              {"config", this->routingTable ? std::to_string(this->routingTable->config().version)
+                                            : std::string("none")},
+              {"runs", std::to_string(this->possibleExecutions)}});
     this->caller->respond(this->gateway.dialect.refusalStatus(kind),
                           this->gateway.dialect.refusalFields(known, retryAfter), {},
                           this->gateway.stopping);
     this->finish(errorRow(kind).name);
 }
 
-void Exchange::finish(std::string_view outcome)
+void RequestHandler::finish(std::string_view outcome)
 {
     this->phase = Phase::Done;
     this->timer.cancel();
-    const Duration whole = this->now() - this->incoming.arrived;
+    const Duration whole = this->now() - this->incoming.receivedAt;
     if (this->request && this->route != nullptr) {
         const std::string kind(nameOf(this->route->kind));
         this->gateway.metrics.record(Timing::Whole, this->workspace, kind, whole, this->now());
-        if (this->firstByteAfter > Duration{0}) {
+        if (this->timeToFirstByte > Duration{0}) {
             this->gateway.metrics.record(Timing::FirstByte, this->workspace, kind,
-                                         this->firstByteAfter, this->now());
+                                         this->timeToFirstByte, this->now());
         }
         logEvent(Event::RequestEnded,
-                 {{"request", this->request->attempt},
+                 {{"request", this->request->attemptId},
                   {"route", this->route->name},
                   {"workspace", this->workspace},
                   {"outcome", std::string(outcome)},
-                  {"upstream", this->tried.empty() ? std::string() : this->tried.back()},
-                  {"attempts", std::to_string(this->tried.size())},
-                  {"status", std::to_string(this->answer.status)},
-                  {"events", std::to_string(this->events.events())},
-                  {"first_ms", millisecondsText(this->firstByteAfter)},
+                  {"upstream",
+                   this->triedUpstreams.empty() ? std::string() : this->triedUpstreams.back()},
+                  {"attempts", std::to_string(this->triedUpstreams.size())},
+                  {"status", std::to_string(this->response.status)},
+                  {"events", std::to_string(this->eventRelay.eventCount())},
+                  {"first_ms", millisecondsText(this->timeToFirstByte)},
                   {"whole_ms", millisecondsText(whole)},
-                  {"path", this->path}});
+                  {"path", this->connectionPath}});
     }
     this->gateway.metrics.count(outcome == "whole" ? Counter::AnswersWhole : Counter::AnswersCut);
     this->gateway.onExchangeDone(*this->caller);
 }
 
-void Exchange::onCallerGone()
+void RequestHandler::onCallerDisconnected()
 {
     if (this->phase == Phase::Done) {
         return;
     }
     this->gateway.metrics.count(Counter::CallersGone);
-    this->leaveUpstream();
+    this->releaseUpstream();
     this->finish("caller-gone");
 }
 
-void Exchange::cutShort()
+void RequestHandler::abort()
 {
     if (this->phase == Phase::Done) {
         return;
     }
-    this->leaveUpstream();
+    this->releaseUpstream();
     this->caller->abort();
     this->finish("cut-by-stop");
 }
--- a/gateway/gatewayrequestresponse.cpp
+++ b/gateway/gatewayrequestresponse.cpp
@@ -18,109 +18,109 @@
 
 } // namespace
 
-bool Exchange::onAnswerHead(const MessageHead &head)
+bool RequestHandler::onResponseHead(const MessageHead &head)
 {
-    UpstreamAnswer decoded = this->gateway.dialect.readAnswer(head);
-    if (!decoded.attempt.empty() && decoded.attempt != this->request->attempt) {
-        logEvent(Event::UpstreamGarbage, {{"request", this->request->attempt},
+    UpstreamResponse decoded = this->gateway.dialect.parseResponse(head);
+    if (!decoded.attemptId.empty() && decoded.attemptId != this->request->attemptId) {
+        logEvent(Event::UpstreamGarbage, {{"request", this->request->attemptId},
                                           {"upstream", this->upstream->replica.id},
                                           {"why", "an answer to another request was skipped"}});
         return false;
     }
-    this->sawHead = true;
-    this->upstream->lastHeard = this->now();
-    this->answer = std::move(decoded);
+    this->headReceived = true;
+    this->upstream->lastReceived = this->now();
+    this->response = std::move(decoded);
     return true;
 }
 
-void Exchange::onFirstByte()
+void RequestHandler::onFirstByte()
 {
-    this->sawFirstByte = true;
+    this->firstByteReceived = true;
     this->firstByteAt = this->now();
     const Duration took = this->firstByteAt - this->sentAt;
-    if (!this->chain.empty() && !this->isFirstRead) {
-        this->sample.delay = took;
-        this->gateway.estimators[this->service].recordFirstByte(this->sample);
+    if (!this->prefixHashes.empty() && !this->isFirstPrefill) {
+        this->firstByteSample.delay = took;
+        this->gateway.estimators[this->service].recordFirstByte(this->firstByteSample);
     }
-    if (this->firstByteAfter == Duration{0}) {
-        this->firstByteAfter = this->now() - this->incoming.arrived;
+    if (this->timeToFirstByte == Duration{0}) {
+        this->timeToFirstByte = this->now() - this->incoming.receivedAt;
     }
-    const bool wasAvoided = isAvoided(this->upstream->health, this->now());
+    const bool wasAvoided = isEjected(this->upstream->health, this->now());
     const auto expected = std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(this->expectedDelay));
     recordSuccess(this->upstream->health, took - expected, this->now());
     if (wasAvoided) {
         logEvent(Event::UpstreamUsedAgain,
-                 {{"upstream", this->upstream->replica.id}, {"request", this->request->attempt}});
+                 {{"upstream", this->upstream->replica.id}, {"request", this->request->attemptId}});
     }
-    if (this->holdsUnread) {
-        this->upstream->ownUnread -= this->unread;
-        this->holdsUnread = false;
+    if (this->countsPendingPrefill) {
+        this->upstream->ownPendingPrefill -= this->pendingPrefillTokens;
+        this->countsPendingPrefill = false;
     }
 }
 
-void Exchange::recordHold()
+void RequestHandler::recordHoldTime()
 {
     const UpstreamState &state = *this->upstream;
-    if (this->answer.isEventStream) {
-        this->gateway.estimators[this->service].recordHold(this->now() - this->firstByteAt);
+    if (this->response.isEventStream) {
+        this->gateway.estimators[this->service].recordSlotHold(this->now() - this->firstByteAt);
         return;
     }
     // A plain answer comes whole, so that its time in the upstream's queue can't be separated.
-    if (state.replica.slots == 0 || runningAt(state) <= state.replica.slots) {
-        this->gateway.estimators[this->service].recordHold(this->now() - this->sentAt);
+    if (state.replica.maxConcurrency == 0 || runningAt(state) <= state.replica.maxConcurrency) {
+        this->gateway.estimators[this->service].recordSlotHold(this->now() - this->sentAt);
     }
 }
 
-void Exchange::onAnswerBody(std::string_view bytes)
+void RequestHandler::onResponseBody(std::string_view bytes)
 {
     const auto self = this->shared_from_this();
     if (this->phase == Phase::Done) {
         return;
     }
-    this->upstream->lastHeard = this->now();
-    const bool relays = this->answer.status == 200 && this->answer.isSigned
-                        && !this->answer.isEncoded && this->answer.isEventStream
-                        && !this->answer.attempt.empty();
+    this->upstream->lastReceived = this->now();
+    const bool relays = this->response.status == 200 && this->response.isSigned
+                        && !this->response.isEncoded && this->response.isEventStream
+                        && !this->response.attemptId.empty();
     if (!relays) {
-        this->body.append(bytes);
-        if (this->body.size() > largestAnswer) {
-            this->connection->drop();
-            this->onFault(UpstreamFault::Garbage);
+        this->responseBody.append(bytes);
+        if (this->responseBody.size() > largestAnswer) {
+            this->connection->abort();
+            this->onFault(UpstreamFault::InvalidResponse);
         }
         return;
     }
-    if (!this->sawFirstByte) {
+    if (!this->firstByteReceived) {
         this->onFirstByte();
     }
-    this->relay(bytes);
+    this->relayEvents(bytes);
 }
 
-void Exchange::relay(std::string_view bytes)
+void RequestHandler::relayEvents(std::string_view bytes)
 {
     std::string whole;
-    if (!this->events.feed(bytes, whole)) {
-        this->connection->drop();
-        this->onFault(UpstreamFault::Garbage);
+    if (!this->eventRelay.feed(bytes, whole)) {
+        this->connection->abort();
+        this->onFault(UpstreamFault::InvalidResponse);
         return;
     }
     this->phase = Phase::Relaying;
     if (whole.empty()) {
         return;
     }
-    if (!this->chunksBegun) {
-        this->chunksBegun = true;
-        this->caller->beginChunks(this->answer.status, this->answer.passedOn,
-                                  this->gateway.stopping);
+    if (!this->responseStarted) {
+        this->responseStarted = true;
+        this->caller->startChunked(this->response.status, this->response.forwardedFields,
+                                   this->gateway.stopping);
     }
     this->caller->writeChunk(whole);
-    this->armTimer(this->nextLook());
+    this->armTimer(this->silenceDeadline());
     if (this->caller->queuedBytes() > pauseAbove) {
         this->connection->pauseReading();
     }
 }
 
-void Exchange::onCallerDrained()
+void RequestHandler::onCallerWritable()
 {
     if (this->phase == Phase::Relaying && this->connection
         && this->caller->queuedBytes() < resumeBelow) {
@@ -128,138 +128,141 @@
     }
 }
 
-void Exchange::onAnswerEnd(AnswerEnd end)
+void RequestHandler::onResponseEnd(ResponseOutcome end)
 {
     const auto self = this->shared_from_this();
     if (this->phase == Phase::Done) {
         return;
     }
-    if (end == AnswerEnd::NotConnected) {
-        this->onNotConnected();
+    if (end == ResponseOutcome::ConnectFailed) {
+        this->onConnectFailed();
         return;
     }
-    if (end != AnswerEnd::Whole) {
-        this->onFault(end == AnswerEnd::Garbage ? UpstreamFault::Garbage : UpstreamFault::Broken);
+    if (end != ResponseOutcome::Complete) {
+        this->onFault(end == ResponseOutcome::Malformed ? UpstreamFault::InvalidResponse
+                                                        : UpstreamFault::ConnectionLost);
         return;
     }
-    this->gateway.upstreams.giveBack(*this->upstream, this->connection);
+    this->gateway.upstreams.release(*this->upstream, this->connection);
     this->connection.reset();
-    if (this->answer.notRun) {
-        this->onNotRun();
+    if (this->response.notExecuted) {
+        this->onNotExecuted();
         return;
     }
-    this->onWholeAnswer();
+    this->onCompleteResponse();
 }
 
-void Exchange::onNotConnected()
+void RequestHandler::onConnectFailed()
 {
     this->recordUpstreamFault(UpstreamFault::Unreachable);
-    this->gateway.noteDown(this->upstream->replica);
-    this->leaveUpstream();
+    this->gateway.recordUpstreamDown(this->upstream->replica);
+    this->releaseUpstream();
     this->connectFailures += 1;
     if (this->connectFailures >= mostConnectFailures) {
-        this->giveUp();
+        this->fail();
         return;
     }
     // Nothing was sent, so that this is no repeat.
     this->logRetry("unreachable");
-    this->place();
+    this->selectAndDispatch();
 }
 
-void Exchange::onNotRun()
+void RequestHandler::onNotExecuted()
 {
     // After "misdirected" the address is another upstream's; the list will say so.
-    this->recordUpstreamFault(this->answer.misdirected ? UpstreamFault::Unreachable
-                                                       : UpstreamFault::Full);
-    this->leaveUpstream();
+    this->recordUpstreamFault(this->response.misdirected ? UpstreamFault::Unreachable
+                                                         : UpstreamFault::Rejected);
+    this->releaseUpstream();
     this->rejections += 1;
-    if (this->rejections > mostRejections || !this->tryAgain("turned away")) {
-        this->giveUp();
+    if (this->rejections > mostRejections || !this->retry("turned away")) {
+        this->fail();
     }
 }
 
-void Exchange::onWholeAnswer()
+void RequestHandler::onCompleteResponse()
 {
-    const bool isSuccess = this->answer.status >= 200 && this->answer.status < 300;
+    const bool isSuccess = this->response.status >= 200 && this->response.status < 300;
     if (isSuccess) {
-        this->gateway.noteAnswered(this->fingerprint);
+        this->gateway.recordAnswered(this->fingerprint);
     }
     const bool isUsable =
-        !this->answer.isEncoded && !this->answer.attempt.empty() && this->answer.isSigned;
+        !this->response.isEncoded && !this->response.attemptId.empty() && this->response.isSigned;
     if (!isUsable) {
-        this->onFault(UpstreamFault::Garbage);
+        this->onFault(UpstreamFault::InvalidResponse);
         return;
     }
-    if (!isSuccess && this->answer.status >= 500) {
+    if (!isSuccess && this->response.status >= 500) {
         this->recordUpstreamFault(UpstreamFault::Failed);
-        this->failure = FailedAnswer{this->answer.status, std::move(this->answer.passedOn),
-                                     std::move(this->body)};
-        if (!this->mayRunAgain() || !this->tryAgain("failed")) {
-            this->passFailureOn();
+        this->failedResponse =
+            FailedResponse{this->response.status, std::move(this->response.forwardedFields),
+                           std::move(this->responseBody)};
+        if (!this->canRetry() || !this->retry("failed")) {
+            this->forwardFailure();
         }
         return;
     }
-    if (isSuccess && this->answer.isEventStream) {
-        this->onWholeStream();
+    if (isSuccess && this->response.isEventStream) {
+        this->onCompleteStream();
         return;
     }
     this->onFirstByte();
-    this->recordHold();
-    this->passAnswerOn();
+    this->recordHoldTime();
+    this->forwardResponse();
 }
 
-void Exchange::onWholeStream()
+void RequestHandler::onCompleteStream()
 {
-    if (this->events.hasPartial()) {
-        this->onFault(UpstreamFault::Broken);
+    if (this->eventRelay.hasPartial()) {
+        this->onFault(UpstreamFault::ConnectionLost);
         return;
     }
-    if (!this->chunksBegun) {
-        this->chunksBegun = true;
-        this->caller->beginChunks(this->answer.status, this->answer.passedOn,
-                                  this->gateway.stopping);
+    if (!this->responseStarted) {
+        this->responseStarted = true;
+        this->caller->startChunked(this->response.status, this->response.forwardedFields,
+                                   this->gateway.stopping);
     }
-    this->recordHold();
-    this->leaveUpstream();
-    this->caller->endChunks();
+    this->recordHoldTime();
+    this->releaseUpstream();
+    this->caller->finishChunked();
     this->finish("whole");
 }
 
-void Exchange::passAnswerOn()
+void RequestHandler::forwardResponse()
 {
-    this->leaveUpstream();
-    if (this->chunksBegun) {
+    this->releaseUpstream();
+    if (this->responseStarted) {
         // The stream's continuation was refused by its upstream: what the caller has is not whole.
         this->caller->abort();
         this->finish("cut");
         return;
     }
-    const int status = this->answer.status;
-    this->caller->respond(status, this->answer.passedOn, this->body, this->gateway.stopping);
+    const int status = this->response.status;
+    this->caller->respond(status, this->response.forwardedFields, this->responseBody,
+                          this->gateway.stopping);
     this->finish(status < 300 ? "whole" : "failed-upstream");
 }
 
-void Exchange::passFailureOn()
+void RequestHandler::forwardFailure()
 {
-    this->answer.status = this->failure->status;
-    this->answer.passedOn = std::move(this->failure->fields);
-    this->body = std::move(this->failure->body);
-    this->failure.reset();
-    this->passAnswerOn();
+    this->response.status = this->failedResponse->status;
+    this->response.forwardedFields = std::move(this->failedResponse->fields);
+    this->responseBody = std::move(this->failedResponse->body);
+    this->failedResponse.reset();
+    this->forwardResponse();
 }
 
-void Exchange::onFault(UpstreamFault fault)
+void RequestHandler::onFault(UpstreamFault fault)
 {
     this->recordUpstreamFault(fault);
-    if (fault == UpstreamFault::Broken) {
-        this->gateway.suspects.noteBroken(this->fingerprint, lifeOf(this->upstream->replica),
-                                          this->sentAt, this->now());
-        this->gateway.checkUpstream(this->upstream);
+    if (fault == UpstreamFault::ConnectionLost) {
+        this->gateway.crashQuarantine.recordBrokenAnswer(
+            this->fingerprint, incarnationOf(this->upstream->replica), this->sentAt, this->now());
+        this->gateway.probeUpstream(this->upstream);
     }
-    if (this->mayRunAgain() && this->tryAgain(nameOf(fault))) {
+    if (this->canRetry() && this->retry(nameOf(fault))) {
         return;
     }
-    this->giveUp();
+    this->fail();
 }
 
 } // namespace plantainswitch::gateway
--- a/gateway/gatewaysettings.cpp
+++ b/gateway/gatewaysettings.cpp
@@ -46,15 +46,15 @@
     limit.window = Seconds{static_cast<std::int64_t>(window)};
 }
 
-void readChoice(FieldReader &parent, ChoicePolicy &policy, std::vector<Fault> &faults)
+void readChoice(FieldReader &parent, SelectionPolicy &policy, std::vector<Fault> &faults)
 {
     FieldReader fields(parent.child("choice"), parent.pathOf("choice"), faults);
-    fields.read("remoteDelayMilliseconds", policy.otherPlaceDelay, 0.0, maxDelayMilliseconds);
+    fields.read("remoteDelayMilliseconds", policy.remoteDelay, 0.0, maxDelayMilliseconds);
     fields.read("failureDelayMilliseconds", policy.failureDelay, 0.0, maxDelayMilliseconds);
-    fields.read("preferenceStepRequests", policy.orderRequests, 0.0, maxWeight);
+    fields.read("preferenceStepRequests", policy.preferenceStepRequests, 0.0, maxWeight);
     fields.read("cacheWeight", policy.cacheWeight, 0.0, maxWeight);
     fields.read("interference", policy.interference, 0.0, maxWeight);
-    fields.read("maxEjectedShare", policy.mostAvoided, 0.0, 1.0);
+    fields.read("maxEjectedShare", policy.maxEjectedShare, 0.0, 1.0);
     fields.read("transfers", policy.transfers);
     fields.read("preferredUpstreams", policy.preferredUpstreams);
     fields.finish();
@@ -67,7 +67,7 @@
     fields.read("minOccupancy", policy.minOccupancy, 0.0, maxWeight);
     fields.read("maxObjectives", policy.maxObjectives, 0.0, maxWeight);
     fields.read("minObjectives", policy.minObjectives, 0.0, maxWeight);
-    fields.read("rankShare", policy.rankShare, 0.0, 1.0);
+    fields.read("rankShare", policy.priorityDecay, 0.0, 1.0);
     fields.finish();
 }
 
@@ -94,7 +94,7 @@
     GatewaySettings settings;
     FieldReader fields(*json, "", faults);
     fields.read("id", settings.id, true);
-    fields.read("place", settings.place, true);
+    fields.read("place", settings.dataCentre, true);
     fields.read("callers", settings.callers, true);
     fields.read("readiness", settings.readiness, true);
     fields.read("control", settings.control, false);
@@ -104,15 +104,16 @@
     readChoice(fields, settings.choice, faults);
     readAdmission(fields, settings.admission, faults);
     readMechanisms(fields, settings.mechanisms, faults);
-    auto drain = static_cast<std::uint32_t>(settings.drainBound.count());
+    auto drain = static_cast<std::uint32_t>(settings.maxDrainTime.count());
     fields.read("drainMilliseconds", drain, 1, mostDrainMilliseconds);
-    settings.drainBound = Milliseconds{drain};
-    auto catchUp = static_cast<std::uint32_t>(settings.catchUpBound.count());
+    settings.maxDrainTime = Milliseconds{drain};
+    auto catchUp = static_cast<std::uint32_t>(settings.maxCatchUpTime.count());
     fields.read("catchUpMilliseconds", catchUp, minCatchUpMilliseconds, maxCatchUpMilliseconds);
-    settings.catchUpBound = Milliseconds{catchUp};
-    double grace = std::chrono::duration<double>(settings.grace).count();
+    settings.maxCatchUpTime = Milliseconds{catchUp};
+    double grace = std::chrono::duration<double>(settings.stopGrace).count();
     fields.read("graceSeconds", grace, 1.0, mostGraceSeconds);
-    settings.grace = std::chrono::duration_cast<Milliseconds>(std::chrono::duration<double>(grace));
+    settings.stopGrace =
+        std::chrono::duration_cast<Milliseconds>(std::chrono::duration<double>(grace));
     settings.log = readLogSettings(fields, faults);
     fields.finish();
     if (!faults.empty()) {
--- a/gateway/gatewaysettings.h
+++ b/gateway/gatewaysettings.h
@@ -35,7 +35,7 @@
 {
     std::string id;
     /// Data centre.
-    std::string place;
+    std::string dataCentre;
     Endpoint callers;
     Endpoint readiness;
     /// Metrics and the routers' calls to each other.
@@ -46,16 +46,16 @@
     std::vector<Endpoint> seeds;
     Endpoint store;
     FleetRetryLimit retries;
-    ChoicePolicy choice;
+    SelectionPolicy choice;
     AdmissionPolicy admission;
     Mechanisms mechanisms;
     /// Time after which an upstream that has said, or whose entry's removal says, that it leaves
     /// must get no new request.
-    Milliseconds drainBound{2000};
+    Milliseconds maxDrainTime{2000};
     /// Time after an outage of the store within which its newest configuration must be in force.
-    Milliseconds catchUpBound{3000};
+    Milliseconds maxCatchUpTime{3000};
     /// Time from a stop's signal to its forced end.
-    Milliseconds grace{8000};
+    Milliseconds stopGrace{8000};
     LogSettings log;
 };
 
--- a/gateway/gatewaystate.h
+++ b/gateway/gatewaystate.h
@@ -21,13 +21,13 @@
 namespace plantainswitch::gateway {
 
 class CallerConnection;
-class FleetLink;
+class FleetGossip;
 
 /// One upstream's entry in a StoreView.
-struct ViewedReplica
+struct StoreViewReplica
 {
     std::string document;
-    bool gone = false;
+    bool removed = false;
     /// The store's revision by which this router had heard of it.
     std::uint64_t revision = 0;
 };
@@ -36,8 +36,8 @@
 /// the store themselves.
 struct StoreView
 {
-    std::string routing;
-    std::map<std::string, ViewedReplica> replicas;
+    std::string routingDocument;
+    std::map<std::string, StoreViewReplica> replicas;
     /// Up to which changes of upstreams were heard, from the store or from another router.
     std::uint64_t revision = 0;
     /// Heard from the store itself, which still answers.
@@ -45,16 +45,16 @@
 };
 
 /// How recent this router's knowledge of one kind of the store's objects is.
-struct FollowedKind
+struct StoreSyncState
 {
     /// When the store last confirmed it, by its answer to a list or a watch.
     TimePoint confirmedAt;
     /// When it was last confirmed to this router or to another one that knows nothing newer.
     TimePoint fleetConfirmedAt;
     /// The store's revision up to which this router's own calls have shown all changes.
-    std::uint64_t position = 0;
+    std::uint64_t revision = 0;
     /// Since when the call under way has waited for its answer.
-    std::optional<TimePoint> waitingSince;
+    std::optional<TimePoint> callStartedAt;
 };
 
 /// What the parts of a gateway share. All of it lives on the loop's one thread.
@@ -66,59 +66,59 @@
         , clock(clock)
         , dialect(dialect)
         , settings(std::move(settings))
-        , directory(suspectedGrace(this->settings.drainBound))
+        , replicaDirectory(suspectedExpiryGrace(this->settings.maxDrainTime))
         , upstreams(context, clock)
-        , retries(this->settings.retries)
+        , retryBudgets(this->settings.retries)
     {}
 
     /// \returns the number of routers that share what is bounded for all together.
-    [[nodiscard]] std::uint32_t routers() const noexcept
+    [[nodiscard]] std::uint32_t routerCount() const noexcept
     {
-        return static_cast<std::uint32_t>(this->peers.routers()) + 1;
+        return static_cast<std::uint32_t>(this->peerLoads.routerCount()) + 1;
     }
 
     asio::io_context &context;
     const Clock &clock;
     const Dialect &dialect;
     GatewaySettings settings;
-    std::shared_ptr<const RoutingTable> table;
+    std::shared_ptr<const RoutingTable> routingTable;
     /// When the table was taken.
-    TimePoint routingTakenAt;
-    std::map<StoreKind, FollowedKind> followed;
-    ReplicaDirectory directory;
-    bool directoryKnown = false;
+    TimePoint routingAppliedAt;
+    std::map<StoreObjectKind, StoreSyncState> syncStates;
+    ReplicaDirectory replicaDirectory;
+    bool isDirectoryLoaded = false;
     /// What the store said last, for routers that it turns away.
-    StoreView view;
-    Upstreams upstreams;
-    PeerLoads peers;
+    StoreView storeView;
+    UpstreamRegistry upstreams;
+    PeerLoads peerLoads;
     /// What the upstreams of each service are like.
     std::map<std::string, ServiceEstimator> estimators;
-    FleetRetries retries;
+    FleetRetryBudget retryBudgets;
     Metrics metrics;
     /// What other routers are still to be told.
-    UpdateLog updates;
-    CrashSuspects suspects;
+    UpdateLog updateLog;
+    CrashQuarantine crashQuarantine;
     bool stopping = false;
     /// Other routers; set before the first request comes.
-    FleetLink *fleet = nullptr;
+    FleetGossip *fleet = nullptr;
     /// Forgets an exchange that has ended.
     std::function<void(const CallerConnection &)> onExchangeDone;
     /// Connects to an upstream whose answer broke off, unless that is under way already: a crashed
     /// one takes no connection, one that only lost an answer does, and the next request gets it.
     /// Without this look a crash would show seconds later, when a request is placed there again.
-    void checkUpstream(const std::shared_ptr<UpstreamState> &upstream);
+    void probeUpstream(const std::shared_ptr<UpstreamState> &upstream);
     /// An upstream was found down: what broke on it before is under suspicion.
-    void noteDown(const Replica &replica);
+    void recordUpstreamDown(const Replica &replica);
     /// A request was answered: it crashes nobody.
-    void noteAnswered(RequestFingerprint request);
+    void recordAnswered(RequestFingerprint request);
     /// Notes that the store answered at \a now as of \a revision, which confirms each kind that has
     /// no later change.
-    void noteConfirmed(std::uint64_t revision, TimePoint now);
+    void recordConfirmation(std::uint64_t revision, TimePoint now);
     /// \returns the newest revision of the store that an answer has shown.
-    [[nodiscard]] std::uint64_t newestPosition() const;
+    [[nodiscard]] std::uint64_t latestRevision() const;
     /// Takes the loads of other routers into the upstreams' states.
     void refreshPeerLoads();
-    bool peersChanged = false;
+    bool peerLoadsChanged = false;
 };
 
 } // namespace plantainswitch::gateway
--- a/gateway/gatewaystore.cpp
+++ b/gateway/gatewaystore.cpp
@@ -33,64 +33,66 @@
 
 } // namespace
 
-void Gateway::takeRouting(const std::vector<StoreItem> &items)
+void Gateway::applyRouting(const std::vector<StoreObject> &items)
 {
-    for (const StoreItem &item : items) {
+    for (const StoreObject &item : items) {
         std::string fault;
         auto config =
-            item.deleted ? std::nullopt : this->state.dialect.readRouting(item.document, fault);
+            item.deleted ? std::nullopt : this->state.dialect.parseRouting(item.document, fault);
         if (!config) {
             logEvent(Event::EntryInvalid, {{"kind", "routing"},
                                            {"name", item.name},
                                            {"why", item.deleted ? "deleted" : fault}});
             continue;
         }
-        const std::uint64_t known = this->state.table ? this->state.table->config().version : 0;
-        if (this->state.table && config->version <= known) {
+        const std::uint64_t known =
+            this->state.routingTable ? this->state.routingTable->config().version : 0;
+        if (this->state.routingTable && config->version <= known) {
             continue;
         }
         logEvent(Event::RoutingTaken, {{"version", std::to_string(config->version)},
                                        {"before", std::to_string(known)},
                                        {"routes", std::to_string(config->routes.size())},
                                        {"workspaces", std::to_string(config->workspaces.size())}});
-        this->state.table = std::make_shared<const RoutingTable>(std::move(*config));
-        this->state.view.routing = item.document;
-        this->state.routingTakenAt = this->state.clock.now();
+        this->state.routingTable = std::make_shared<const RoutingTable>(std::move(*config));
+        this->state.storeView.routingDocument = item.document;
+        this->state.routingAppliedAt = this->state.clock.now();
         this->fleet.scheduleBroadcast();
     }
-    this->watchReadiness();
+    this->updateReadiness();
 }
 
-void Gateway::takeReplicaList(const std::vector<StoreItem> &items, TimePoint keepUntil)
+void Gateway::applyReplicaList(const std::vector<StoreObject> &items, TimePoint keepUntil)
 {
-    if (isOutdated(this->state.view, this->replicas.position())) {
+    if (isStale(this->state.storeView, this->replicaFollower.revision())) {
         // Other routers have sent more meanwhile; what follows the list is watched, or sent too.
         return;
     }
-    this->takeReplicas(items, EntryScope::All, keepUntil);
+    this->applyReplicaObjects(items, UpdateScope::Snapshot, keepUntil);
 }
 
-void Gateway::takeReplicas(const std::vector<StoreItem> &items, EntryScope scope,
-                           TimePoint keepUntil)
+void Gateway::applyReplicaObjects(const std::vector<StoreObject> &items, UpdateScope scope,
+                                  TimePoint keepUntil)
 {
-    const bool isList = scope == EntryScope::All;
+    const bool isList = scope == UpdateScope::Snapshot;
     const TimePoint now = this->state.clock.now();
     std::vector<Replica> listed;
     std::vector<ReplicaEvent> events;
     const auto keep = [&events](std::vector<ReplicaEvent> more) {
         std::move(more.begin(), more.end(), std::back_inserter(events));
     };
-    const std::uint64_t revision = std::max(this->state.view.revision, this->replicas.position());
+    const std::uint64_t revision =
+        std::max(this->state.storeView.revision, this->replicaFollower.revision());
     std::set<std::string> removed;
-    for (const StoreItem &item : items) {
+    for (const StoreObject &item : items) {
         if (item.deleted) {
             removed.insert(item.name);
             continue;
         }
         removed.erase(item.name);
-        noteReplica(this->state.view, item.name, item.document, revision);
+        recordReplica(this->state.storeView, item.name, item.document, revision);
         std::string fault;
-        auto replica = this->state.dialect.readReplica(item, fault);
+        auto replica = this->state.dialect.parseReplica(item, fault);
         if (!replica) {
             logEvent(Event::EntryInvalid,
                      {{"kind", "upstream"}, {"name", item.name}, {"why", fault}});
@@ -100,39 +102,42 @@
         if (isList) {
             listed.push_back(std::move(*replica));
         } else {
-            keep(this->state.directory.takeEntry(std::move(*replica)));
+            keep(this->state.replicaDirectory.applyEntry(std::move(*replica)));
         }
     }
     if (isList) {
-        keep(this->state.directory.takeList(std::move(listed), keepUntil, now));
-        this->state.directoryKnown = true;
+        keep(this->state.replicaDirectory.applyList(std::move(listed), keepUntil, now));
+        this->state.isDirectoryLoaded = true;
     } else {
-        keep(this->state.directory.takeRemovals({removed.begin(), removed.end()}, keepUntil, now));
+        keep(this->state.replicaDirectory.applyRemovals({removed.begin(), removed.end()}, keepUntil,
+                                                        now));
     }
-    this->applyReplicas(events);
-    noteKnown(this->state.view, this->replicas.newestChange(), this->state.directory);
-    this->watchReadiness();
-    if (this->replicas.isWatching()) {
-        this->trackStore();
+    this->applyReplicaEvents(events);
+    advanceRevision(this->state.storeView, this->replicaFollower.latestChange(),
+                    this->state.replicaDirectory);
+    this->updateReadiness();
+    if (this->replicaFollower.isWatching()) {
+        this->updateStoreConnection();
         this->fleet.scheduleBroadcast();
     }
 }
 
-void Gateway::applyReplicas(const std::vector<ReplicaEvent> &events)
+void Gateway::applyReplicaEvents(const std::vector<ReplicaEvent> &events)
 {
     for (const ReplicaEvent &event : events) {
-        const auto known = this->state.upstreams.share(event.replica.id);
+        const auto known = this->state.upstreams.find(event.replica.id);
         // An entry that is gone may have lapsed; one with another start says that it went down.
-        if (known && event.change == ReplicaChange::Reborn) {
-            this->state.noteDown(known->replica);
+        if (known && event.change == ReplicaChange::Restarted) {
+            this->state.recordUpstreamDown(known->replica);
         }
     }
-    this->state.upstreams.take(events);
-    this->state.peersChanged = true;
+    this->state.upstreams.apply(events);
+    this->state.peerLoadsChanged = true;
     for (const ReplicaEvent &event : events) {
-        if (event.change == ReplicaChange::Gone) {
-            noteGone(this->state.view, event.replica.id, this->replicas.position());
-            this->replicas.noteRemoval();
+        if (event.change == ReplicaChange::Removed) {
+            recordRemoval(this->state.storeView, event.replica.id,
+                          this->replicaFollower.revision());
+            this->replicaFollower.recordRemoval();
         }
     }
     for (const ReplicaEvent &event : events) {
@@ -140,180 +145,186 @@
                                          {"change", std::string(nameOf(event.change))},
                                          {"service", event.replica.service},
                                          {"address", toText(event.replica.endpoint)},
-                                         {"place", event.replica.place},
-                                         {"born", std::to_string(event.replica.born)},
-                                         {"slots", std::to_string(event.replica.slots)}});
+                                         {"place", event.replica.dataCentre},
+                                         {"born", std::to_string(event.replica.startTime)},
+                                         {"slots", std::to_string(event.replica.maxConcurrency)}});
     }
 }
 
-void Gateway::announce()
+void Gateway::registerRouter()
 {
-    if (this->announced) {
+    if (this->isRegistered) {
         return;
     }
-    this->announced = true;
+    this->isRegistered = true;
     // A fleet is found by its seeds. Where all of them are gone, a newcomer finds those that watch
     // the store by their entries there; a failed write is made up for by the other watchers.
     const RouterEntry own{this->state.settings.id, this->state.settings.peerDatagrams};
     this->state.metrics.count(Counter::PlatformCalls);
-    this->announcer.call(
+    this->registrationClient.call(
         this->state.settings.store, "POST",
-        this->state.dialect.listTarget(StoreKind::Routers, {}, ReadConsistency::Linearizable),
-        this->state.dialect.writeRouter(own), {announceLimit}, [this](const PlainReply &reply) {
+        this->state.dialect.listTarget(StoreObjectKind::Routers, {}, ReadConsistency::Linearizable),
+        this->state.dialect.serializeRouterEntry(own), {announceLimit},
+        [this](const CallReply &reply) {
             logEvent(Event::Announced, {{"status", std::to_string(reply.status)}});
-            if (this->state.peers.routers() == 0) {
-                this->findRouters();
+            if (this->state.peerLoads.routerCount() == 0) {
+                this->discoverRouters();
             }
         });
 }
 
-void Gateway::findRouters()
+void Gateway::discoverRouters()
 {
     this->state.metrics.count(Counter::PlatformCalls);
-    this->announcer.call(
+    this->registrationClient.call(
         this->state.settings.store, "GET",
-        this->state.dialect.listTarget(StoreKind::Routers, {}, ReadConsistency::Linearizable), {},
-        {announceLimit}, [this](const PlainReply &listed) {
-            const auto answer = this->state.dialect.readList(listed.body);
+        this->state.dialect.listTarget(StoreObjectKind::Routers, {}, ReadConsistency::Linearizable),
+        {}, {announceLimit}, [this](const CallReply &listed) {
+            const auto answer = this->state.dialect.parseList(listed.body);
             logEvent(Event::ObjectsListed,
                      {{"kind", "routers"},
-                      {"objects", std::to_string(answer ? answer->items.size() : 0)},
+                      {"objects", std::to_string(answer ? answer->objects.size() : 0)},
                       {"status", std::to_string(listed.status)}});
             if (!answer) {
                 return;
             }
-            for (const StoreItem &item : answer->items) {
-                if (const auto entry = this->state.dialect.readRouter(item)) {
+            for (const StoreObject &item : answer->objects) {
+                if (const auto entry = this->state.dialect.parseRouterEntry(item)) {
                     this->fleet.addRouter(entry->datagrams);
                 }
             }
         });
 }
 
-void Gateway::trackStore()
+void Gateway::updateStoreConnection()
 {
-    StoreView &view = this->state.view;
-    view.connected = this->replicas.isWatching() && this->routing.isConnected()
-                     && this->replicas.isConnected() && this->state.directoryKnown;
+    StoreView &view = this->state.storeView;
+    view.connected = this->replicaFollower.isWatching() && this->routingFollower.isConnected()
+                     && this->replicaFollower.isConnected() && this->state.isDirectoryLoaded;
     if (view.connected) {
-        noteKnown(view, this->replicas.newestChange(), this->state.directory);
+        advanceRevision(view, this->replicaFollower.latestChange(), this->state.replicaDirectory);
     }
 }
 
-void Gateway::decideWatching()
+void Gateway::updateWatchRole()
 {
     const TimePoint now = this->state.clock.now();
     if (now - this->startedAt < discoverySpan) {
         return;
     }
     const bool isChosen = this->fleet.watchRank().has_value();
-    if (this->state.peers.routers() == 0 || isChosen) {
-        this->announce();
+    if (this->state.peerLoads.routerCount() == 0 || isChosen) {
+        this->registerRouter();
     }
     if (this->fleet.isWatcherAlive()) {
         this->watcherLastSeen = now;
     }
-    WatchSituation situation;
-    situation.isChosen = isChosen;
-    situation.unserved = now - std::max(this->watcherLastSeen, this->startedAt);
+    WatchConditions situation;
+    situation.isChosenWatcher = isChosen;
+    situation.sinceServedRouter = now - std::max(this->watcherLastSeen, this->startedAt);
     situation.sinceStart = now - this->startedAt;
-    situation.knowsOthers = this->state.peers.routers() > 0;
-    situation.knowsUpstreams = this->state.directoryKnown;
-    situation.isPlatformBusy = this->replicas.isRefusedAsBusy();
+    situation.knowsOthers = this->state.peerLoads.routerCount() > 0;
+    situation.knowsUpstreams = this->state.isDirectoryLoaded;
+    situation.isPlatformBusy = this->replicaFollower.isThrottled();
     const bool watches = shouldWatch(situation);
-    if (watches ? this->replicas.isWatching() : this->replicas.isPaused()) {
+    if (watches ? this->replicaFollower.isWatching() : this->replicaFollower.isPaused()) {
         return;
     }
     logEvent(watches ? Event::WatchBegun : Event::WatchEnded,
-             {{"revision", std::to_string(this->state.view.revision)},
-              {"chosen", situation.isChosen ? "yes" : "no"}});
+             {{"revision", std::to_string(this->state.storeView.revision)},
+              {"chosen", situation.isChosenWatcher ? "yes" : "no"}});
     if (watches) {
-        this->routing.resume();
-        this->replicas.resume();
+        this->routingFollower.resume();
+        this->replicaFollower.resume();
     } else {
-        this->routing.pause();
-        this->replicas.pause();
+        this->routingFollower.pause();
+        this->replicaFollower.pause();
     }
 }
 
 void Gateway::checkFreshness(TimePoint now)
 {
-    this->checkBehind(now);
-    this->routing.checkConfirmed(this->fleet.confirmedAt(StoreKind::Routing));
-    this->replicas.checkConfirmed(this->fleet.confirmedAt(StoreKind::Replicas));
+    this->checkLag(now);
+    this->routingFollower.checkConfirmation(this->fleet.confirmedAt(StoreObjectKind::Routing));
+    this->replicaFollower.checkConfirmation(this->fleet.confirmedAt(StoreObjectKind::Replicas));
 }
 
-void Gateway::checkBehind(TimePoint now)
+void Gateway::checkLag(TimePoint now)
 {
-    const bool isPausing = this->routing.isPausing() || this->replicas.isPausing();
-    const bool isBehind = this->state.view.connected && !isPausing
-                          && !this->state.directory.hasMissing() && this->fleet.newerRouter();
+    const bool isPausing =
+        this->routingFollower.isGatheringChanges() || this->replicaFollower.isGatheringChanges();
+    const bool isBehind = this->state.storeView.connected && !isPausing
+                          && !this->state.replicaDirectory.hasMissing()
+                          && this->fleet.newerRouter();
     if (!isBehind) {
-        this->behindSince.reset();
+        this->laggingSince.reset();
         return;
     }
-    if (now - this->behindSince.value_or(now) < behindSpan) {
-        this->behindSince = this->behindSince.value_or(now);
+    if (now - this->laggingSince.value_or(now) < behindSpan) {
+        this->laggingSince = this->laggingSince.value_or(now);
         return;
     }
-    logEvent(Event::WatchDeaf, {{"revision", std::to_string(this->state.view.revision)}});
-    this->behindSince.reset();
-    this->routing.listAnew();
-    this->replicas.listAnew();
-    this->trackStore();
+    logEvent(Event::WatchDeaf, {{"revision", std::to_string(this->state.storeView.revision)}});
+    this->laggingSince.reset();
+    this->routingFollower.relist();
+    this->replicaFollower.relist();
+    this->updateStoreConnection();
 }
 
-void Gateway::catchUp()
+void Gateway::fetchStoreView()
 {
-    if (this->state.view.connected || this->catchUpClient.isBusy()) {
+    if (this->state.storeView.connected || this->storeViewClient.isBusy()) {
         return;
     }
     const auto router = this->fleet.newerRouter();
     if (!router) {
         return;
     }
-    const bool isJoining = this->state.view.revision == 0 && this->state.directoryKnown;
+    const bool isJoining = this->state.storeView.revision == 0 && this->state.isDirectoryLoaded;
     if (isJoining && this->state.clock.now() - this->startedAt < joiningSpan) {
         return;
     }
-    const ViewQuestion question{this->state.view.revision,
-                                this->state.table ? this->state.table->config().version : 0};
-    this->catchUpClient.call(*router, "GET", targetOf(question), {}, {catchUpLimit, catchUpSilence},
-                             [this, from = *router, question](const PlainReply &reply) {
-                                 this->takeCatchUp(from, question, reply);
-                             });
+    const StoreViewQuery question{
+        this->state.storeView.revision,
+        this->state.routingTable ? this->state.routingTable->config().version : 0};
+    this->storeViewClient.call(*router, "GET", storeViewTarget(question), {},
+                               {catchUpLimit, catchUpSilence},
+                               [this, from = *router, question](const CallReply &reply) {
+                                   this->applyStoreView(from, question, reply);
+                               });
 }
 
-void Gateway::takeCatchUp(const Endpoint &from, const ViewQuestion &question,
-                          const PlainReply &reply)
+void Gateway::applyStoreView(const Endpoint &from, const StoreViewQuery &question,
+                             const CallReply &reply)
 {
     constexpr int ok = 200;
-    const auto view = reply.status == ok ? readStoreView(reply.body) : std::nullopt;
+    const auto view = reply.status == ok ? parseStoreView(reply.body) : std::nullopt;
     logEvent(Event::CaughtUp, {{"from", toText(from)},
                                {"outcome", view ? "taken" : "failed"},
-                               {"before", std::to_string(this->state.view.revision)},
+                               {"before", std::to_string(this->state.storeView.revision)},
                                {"revision", std::to_string(view ? view->revision : 0)},
                                {"replicas", std::to_string(view ? view->replicas.size() : 0)}});
-    if (!view || this->state.view.connected) {
+    if (!view || this->state.storeView.connected) {
         return;
     }
-    if (!view->routing.empty()) {
-        this->takeRouting({{"", false, view->routing}});
+    if (!view->routingDocument.empty()) {
+        this->applyRouting({{"", false, view->routingDocument}});
     }
-    if (view->revision == 0 || isOutdated(this->state.view, view->revision)) {
-        this->watchReadiness();
+    if (view->revision == 0 || isStale(this->state.storeView, view->revision)) {
+        this->updateReadiness();
         return;
     }
-    std::vector<StoreItem> items;
+    std::vector<StoreObject> items;
     for (const auto &[name, replica] : view->replicas) {
-        items.push_back({name, replica.gone, replica.document});
+        items.push_back({name, replica.removed, replica.document});
     }
-    this->state.view.revision = std::max(this->state.view.revision, view->revision);
+    this->state.storeView.revision = std::max(this->state.storeView.revision, view->revision);
     // What a stale list had may be gone since: the view that replaces it is whole.
-    const EntryScope scope = question.revision == 0 ? EntryScope::All : EntryScope::Changes;
-    this->takeReplicas(items, scope, {});
-    this->state.directoryKnown = true;
-    this->watchReadiness();
+    const UpdateScope scope =
+        question.revision == 0 ? UpdateScope::Snapshot : UpdateScope::Incremental;
+    this->applyReplicaObjects(items, scope, {});
+    this->state.isDirectoryLoaded = true;
+    this->updateReadiness();
 }
 
 } // namespace plantainswitch::gateway
--- a/gateway/gauges.cpp
+++ b/gateway/gauges.cpp
@@ -48,10 +48,10 @@
     const TimePoint now = state.clock.now();
     for (const auto &[id, upstream] : state.upstreams.all()) {
         Conditions &service = services[upstream->replica.service];
-        const bool isAvoidedNow = isAvoided(upstream->health, now);
-        service.leaving += upstream->replica.leaving ? 1 : 0;
-        service.avoided += !upstream->replica.leaving && isAvoidedNow ? 1 : 0;
-        service.usable += !upstream->replica.leaving && !isAvoidedNow ? 1 : 0;
+        const bool isAvoidedNow = isEjected(upstream->health, now);
+        service.leaving += upstream->replica.draining ? 1 : 0;
+        service.avoided += !upstream->replica.draining && isAvoidedNow ? 1 : 0;
+        service.usable += !upstream->replica.draining && !isAvoidedNow ? 1 : 0;
         service.running += runningAt(*upstream);
     }
     return services;
@@ -63,23 +63,23 @@
     struct Column
     {
         std::string_view name;
-        double ServiceFigures::*value;
+        double ServicePerformance::*value;
     };
     constexpr std::array columns{
-        Column{"prefill_tokens_per_millisecond", &ServiceFigures::prefillRate},
-        Column{"first_token_base_milliseconds", &ServiceFigures::baseDelay},
-        Column{"first_token_milliseconds_per_running", &ServiceFigures::delayPerRunning},
-        Column{"transfer_tokens_per_millisecond", &ServiceFigures::transferRate},
-        Column{"transfer_setup_milliseconds", &ServiceFigures::transferSetup},
-        Column{"slot_hold_milliseconds", &ServiceFigures::holdTime},
-        Column{"tokens_per_request", &ServiceFigures::tokensPerRequest},
+        Column{"prefill_tokens_per_millisecond", &ServicePerformance::prefillRate},
+        Column{"first_token_base_milliseconds", &ServicePerformance::baseDelay},
+        Column{"first_token_milliseconds_per_running", &ServicePerformance::delayPerRunning},
+        Column{"transfer_tokens_per_millisecond", &ServicePerformance::transferRate},
+        Column{"transfer_setup_milliseconds", &ServicePerformance::transferSetup},
+        Column{"slot_hold_milliseconds", &ServicePerformance::slotHoldTime},
+        Column{"tokens_per_request", &ServicePerformance::tokensPerRequest},
     };
     const TimePoint now = state.clock.now();
     for (const Column &column : columns) {
         begin(page, column.name);
         for (const auto &[service, estimator] : state.estimators) {
             append(page, column.name, fmt::format("service=\"{}\"", service),
-                   estimator.figures(now).*column.value);
+                   estimator.performance(now).*column.value);
         }
     }
     begin(page, "estimate_error_milliseconds");
@@ -93,21 +93,23 @@
 void appendFollowed(std::string &page, const GatewayState &state)
 {
     const TimePoint now = state.clock.now();
-    const auto labelsOf = [](StoreKind kind) { return fmt::format("kind=\"{}\"", nameOf(kind)); };
+    const auto labelsOf = [](StoreObjectKind kind) {
+        return fmt::format("kind=\"{}\"", nameOf(kind));
+    };
     begin(page, "store_confirmed_age_seconds");
-    for (const auto &[kind, followed] : state.followed) {
+    for (const auto &[kind, followed] : state.syncStates) {
         append(page, "store_confirmed_age_seconds", labelsOf(kind),
                secondsOf(now - followed.confirmedAt));
     }
     begin(page, "store_fleet_confirmed_age_seconds");
-    for (const auto &[kind, followed] : state.followed) {
+    for (const auto &[kind, followed] : state.syncStates) {
         append(page, "store_fleet_confirmed_age_seconds", labelsOf(kind),
                secondsOf(now - followed.fleetConfirmedAt));
     }
     begin(page, "store_call_wait_seconds");
-    for (const auto &[kind, followed] : state.followed) {
+    for (const auto &[kind, followed] : state.syncStates) {
         append(page, "store_call_wait_seconds", labelsOf(kind),
-               secondsOf(now - followed.waitingSince.value_or(now)));
+               secondsOf(now - followed.callStartedAt.value_or(now)));
     }
 }
 
@@ -117,14 +119,14 @@
 {
     const TimePoint now = state.clock.now();
     std::string page;
-    if (state.table) {
-        gauge(page, "config_version", static_cast<double>(state.table->config().version));
-        gauge(page, "config_age_seconds", secondsOf(now - state.routingTakenAt));
+    if (state.routingTable) {
+        gauge(page, "config_version", static_cast<double>(state.routingTable->config().version));
+        gauge(page, "config_age_seconds", secondsOf(now - state.routingAppliedAt));
     }
-    gauge(page, "store_connected", state.view.connected ? 1.0 : 0.0);
-    gauge(page, "store_revision", static_cast<double>(state.view.revision));
+    gauge(page, "store_connected", state.storeView.connected ? 1.0 : 0.0);
+    gauge(page, "store_revision", static_cast<double>(state.storeView.revision));
     appendFollowed(page, state);
-    gauge(page, "members", state.routers());
+    gauge(page, "members", state.routerCount());
     gauge(page, "stopping", state.stopping ? 1.0 : 0.0);
     const auto services = conditionsOf(state);
     begin(page, "upstreams");
@@ -143,7 +145,8 @@
     appendFigures(page, state);
     begin(page, "retries_left");
     for (const auto &[name, service] : services) {
-        append(page, "retries_left", fmt::format("service=\"{}\"", name), state.retries.left(name));
+        append(page, "retries_left", fmt::format("service=\"{}\"", name),
+               state.retryBudgets.remaining(name));
     }
     return page;
 }
--- a/gateway/http1.cpp
+++ b/gateway/http1.cpp
@@ -32,7 +32,7 @@
 struct MessageParser::State
 {
     http_parser parser{};
-    MessageEvents events;
+    MessageHandlers events;
     MessageHead head;
     std::string statusText;
     bool lastWasValue = false;
@@ -78,10 +78,10 @@
     int finishHead()
     {
         this->headDone = true;
-        this->head.keepsAlive = http_should_keep_alive(&this->parser) != 0;
+        this->head.keepAlive = http_should_keep_alive(&this->parser) != 0;
         this->head.chunked = (this->parser.flags & F_CHUNKED) != 0;
         if ((this->parser.flags & F_CONTENTLENGTH) != 0) {
-            this->head.bodyLength = this->parser.content_length;
+            this->head.contentLength = this->parser.content_length;
         }
         if (this->kind == MessageKind::Request) {
             this->head.method = http_method_str(static_cast<http_method>(this->parser.method));
@@ -97,7 +97,7 @@
     }
 };
 
-bool sameName(std::string_view left, std::string_view right) noexcept
+bool isSameFieldName(std::string_view left, std::string_view right) noexcept
 {
     return left.size() == right.size()
            && std::equal(
@@ -108,16 +108,18 @@
 const std::string *MessageHead::find(std::string_view name) const noexcept
 {
     const auto found =
-        std::find_if(this->fields.begin(), this->fields.end(),
-                     [name](const HeaderField &field) { return sameName(field.name, name); });
+        std::find_if(this->fields.begin(), this->fields.end(), [name](const HeaderField &field) {
+            return isSameFieldName(field.name, name);
+        });
     return found == this->fields.end() ? nullptr : &found->value;
 }
 
 std::size_t MessageHead::count(std::string_view name) const noexcept
 {
     return static_cast<std::size_t>(
-        std::count_if(this->fields.begin(), this->fields.end(),
-                      [name](const HeaderField &field) { return sameName(field.name, name); }));
+        std::count_if(this->fields.begin(), this->fields.end(), [name](const HeaderField &field) {
+            return isSameFieldName(field.name, name);
+        }));
 }
 
 bool isUnambiguousHead(std::string_view head) noexcept
@@ -144,8 +146,8 @@
     return false;
 }
 
-MessageParser::MessageParser(MessageKind kind, std::size_t largestHead, MessageEvents events)
-    : largestHead(largestHead)
+MessageParser::MessageParser(MessageKind kind, std::size_t largestHead, MessageHandlers events)
+    : maxHeadBytes(largestHead)
     , state(std::make_unique<State>())
 {
     this->state->kind = kind;
@@ -155,7 +157,7 @@
 
 MessageParser::~MessageParser() = default;
 
-void MessageParser::expectNoBody() noexcept
+void MessageParser::expectEmptyBody() noexcept
 {
     this->state->noBody = true;
 }
@@ -167,69 +169,69 @@
 
 ParseState MessageParser::feed(std::string_view bytes)
 {
-    if (this->state->headDone && !this->state->whole && this->kept.empty()) {
+    if (this->state->headDone && !this->state->whole && this->buffered.empty()) {
         std::size_t used = 0;
         const ParseState reached = this->execute(bytes, used);
-        this->kept.assign(bytes.substr(used));
+        this->buffered.assign(bytes.substr(used));
         return reached;
     }
-    this->kept.append(bytes);
-    return this->state->whole ? ParseState::Whole : this->run();
+    this->buffered.append(bytes);
+    return this->state->whole ? ParseState::Complete : this->parseMessage();
 }
 
-ParseState MessageParser::next()
+ParseState MessageParser::beginNext()
 {
     this->state->begin();
-    return this->run();
+    return this->parseMessage();
 }
 
 ParseState MessageParser::finish()
 {
     if (!this->state->headDone) {
-        return ParseState::Bad;
+        return ParseState::Malformed;
     }
     if (this->state->whole) {
-        return ParseState::Whole;
+        return ParseState::Complete;
     }
     std::size_t used = 0;
     return this->execute({}, used);
 }
 
-ParseState MessageParser::run()
+ParseState MessageParser::parseMessage()
 {
-    ParseState reached = this->runHead();
-    while (reached == ParseState::Whole && this->state->interim) {
+    ParseState reached = this->parseHead();
+    while (reached == ParseState::Complete && this->state->interim) {
         this->state->begin();
-        reached = this->runHead();
+        reached = this->parseHead();
     }
     return reached;
 }
 
-ParseState MessageParser::runHead()
+ParseState MessageParser::parseHead()
 {
     // Blank lines before a request line are allowed by the protocol.
-    while (this->state->kind == MessageKind::Request && this->kept.starts_with("\r\n")) {
-        this->kept.erase(0, 2);
+    while (this->state->kind == MessageKind::Request && this->buffered.starts_with("\r\n")) {
+        this->buffered.erase(0, 2);
     }
     constexpr std::string_view blankLine = "\r\n\r\n";
-    const std::size_t end = this->kept.find(blankLine);
+    const std::size_t end = this->buffered.find(blankLine);
     if (end == std::string::npos) {
-        if (this->kept.size() > this->largestHead) {
-            return ParseState::TooLarge;
+        if (this->buffered.size() > this->maxHeadBytes) {
+            return ParseState::HeadTooLarge;
         }
-        const bool bareEnd = this->kept.find("\n\n") != std::string::npos;
-        return bareEnd ? ParseState::Bad : ParseState::More;
+        const bool bareEnd = this->buffered.find("\n\n") != std::string::npos;
+        return bareEnd ? ParseState::Malformed : ParseState::Incomplete;
     }
     const std::size_t size = end + blankLine.size();
-    if (size > this->largestHead) {
-        return ParseState::TooLarge;
+    if (size > this->maxHeadBytes) {
+        return ParseState::HeadTooLarge;
     }
-    if (!isUnambiguousHead(std::string_view(this->kept).substr(0, size))) {
-        return ParseState::Bad;
+    if (!isUnambiguousHead(std::string_view(this->buffered).substr(0, size))) {
+        return ParseState::Malformed;
     }
     std::size_t used = 0;
-    const ParseState reached = this->execute(this->kept, used);
-    this->kept.erase(0, used);
+    const ParseState reached = this->execute(this->buffered, used);
+    this->buffered.erase(0, used);
     return reached;
 }
 
@@ -267,15 +269,15 @@
     http_parser &parser = this->state->parser;
     used = http_parser_execute(&parser, &settings, bytes.data(), bytes.size());
     if (parser.upgrade != 0) {
-        return ParseState::Bad;
+        return ParseState::Malformed;
     }
     if (this->state->whole) {
-        return ParseState::Whole;
+        return ParseState::Complete;
     }
-    return HTTP_PARSER_ERRNO(&parser) == HPE_OK ? ParseState::More : ParseState::Bad;
+    return HTTP_PARSER_ERRNO(&parser) == HPE_OK ? ParseState::Incomplete : ParseState::Malformed;
 }
 
-std::string_view phraseOf(int status) noexcept
+std::string_view reasonPhraseOf(int status) noexcept
 {
     switch (status) {
 #define PLANTAINSWITCH_PHRASE(number, name, text)                                                  \
--- a/gateway/http1.h
+++ b/gateway/http1.h
@@ -27,10 +27,10 @@
     int status = 0;
     std::vector<HeaderField> fields;
     /// The sender keeps the connection open after this message.
-    bool keepsAlive = false;
+    bool keepAlive = false;
     /// The body comes in chunks.
     bool chunked = false;
-    std::optional<std::uint64_t> bodyLength;
+    std::optional<std::uint64_t> contentLength;
 
     /// \returns the value of the first field of that name in any case, or nullptr.
     [[nodiscard]] const std::string *find(std::string_view name) const noexcept;
@@ -39,25 +39,25 @@
 };
 
 /// \returns whether two header names are the same but for case.
-[[nodiscard]] bool sameName(std::string_view left, std::string_view right) noexcept;
+[[nodiscard]] bool isSameFieldName(std::string_view left, std::string_view right) noexcept;
 
 /// Which side's messages a parser reads.
-enum class MessageKind : std::uint8_t { Request, Answer };
+enum class MessageKind : std::uint8_t { Request, Response };
 
 /// How far a parser came.
 enum class ParseState : std::uint8_t {
     /// The message is not at its end.
-    More,
+    Incomplete,
     /// The message is whole; further bytes are kept back until the next one is begun.
-    Whole,
+    Complete,
     /// Not HTTP, or a form of it that two parsers may read in two ways.
-    Bad,
+    Malformed,
     /// The head is larger than allowed.
-    TooLarge,
+    HeadTooLarge,
 };
 
 /// What a parser hands out, in the order of the bytes.
-struct MessageEvents
+struct MessageHandlers
 {
     std::function<void(MessageHead)> onHead;
     std::function<void(std::string_view)> onBody;
@@ -69,7 +69,7 @@
 class MessageParser
 {
 public:
-    MessageParser(MessageKind kind, std::size_t largestHead, MessageEvents events);
+    MessageParser(MessageKind kind, std::size_t largestHead, MessageHandlers events);
     ~MessageParser();
     MessageParser(const MessageParser &) = delete;
     MessageParser &operator=(const MessageParser &) = delete;
@@ -77,27 +77,27 @@
     /// Takes bytes of the connection.
     ParseState feed(std::string_view bytes);
     /// Begins the next message with the bytes kept back.
-    ParseState next();
+    ParseState beginNext();
     /// The connection ended in order. \returns Whole when that ends a message without length.
     ParseState finish();
 
     /// The next answer belongs to a HEAD request and has no body.
-    void expectNoBody() noexcept;
-    void setLargestHead(std::size_t bytes) noexcept { this->largestHead = bytes; }
+    void expectEmptyBody() noexcept;
+    void setMaxHeadBytes(std::size_t bytes) noexcept { this->maxHeadBytes = bytes; }
     /// \returns whether bytes behind a whole message are kept back.
-    [[nodiscard]] bool hasSurplus() const noexcept { return !this->kept.empty(); }
+    [[nodiscard]] bool hasBufferedBytes() const noexcept { return !this->buffered.empty(); }
     /// \returns whether the head has been read and the body is due.
     [[nodiscard]] bool inBody() const noexcept;
 
 private:
     struct State;
 
-    ParseState run();
-    ParseState runHead();
+    ParseState parseMessage();
+    ParseState parseHead();
     ParseState execute(std::string_view bytes, std::size_t &used);
 
-    std::size_t largestHead;
-    std::string kept;
+    std::size_t maxHeadBytes;
+    std::string buffered;
     std::unique_ptr<State> state;
 };
 
@@ -105,6 +105,6 @@
 [[nodiscard]] bool isUnambiguousHead(std::string_view head) noexcept;
 
 /// \returns the standard phrase of \a status.
-[[nodiscard]] std::string_view phraseOf(int status) noexcept;
+[[nodiscard]] std::string_view reasonPhraseOf(int status) noexcept;
 
 } // namespace plantainswitch::gateway
--- a/gateway/logwriter.cpp
+++ b/gateway/logwriter.cpp
@@ -24,25 +24,25 @@
     }
 }
 
-void LogWriter::take(Severity severity, std::string_view line)
+void LogWriter::append(Severity severity, std::string_view line)
 {
     this->lines.push(severity, line);
     if (this->lines.pending().size() >= gatherBytes) {
         this->flush();
         return;
     }
-    this->schedule();
+    this->scheduleFlush();
 }
 
-void LogWriter::schedule()
+void LogWriter::scheduleFlush()
 {
-    if (this->scheduled) {
+    if (this->isFlushScheduled) {
         return;
     }
-    this->scheduled = true;
+    this->isFlushScheduled = true;
     this->timer.expires_after(gatherSpan);
     this->timer.async_wait([this](const asio::error_code &error) {
-        this->scheduled = false;
+        this->isFlushScheduled = false;
         if (!error) {
             this->flush();
         }
@@ -55,7 +55,7 @@
     if (!pending.empty()) {
         const ssize_t count = write(STDOUT_FILENO, pending.data(), pending.size());
         if (count > 0) {
-            this->lines.written(static_cast<std::size_t>(count));
+            this->lines.consume(static_cast<std::size_t>(count));
         }
     }
     const std::uint64_t dropped = this->lines.takeDropped();
@@ -63,7 +63,7 @@
         logEvent(Event::LogDropped, {{"count", std::to_string(dropped)}});
     }
     if (!this->lines.pending().empty()) {
-        this->schedule();
+        this->scheduleFlush();
     }
 }
 
--- a/gateway/logwriter.h
+++ b/gateway/logwriter.h
@@ -17,16 +17,16 @@
 public:
     explicit LogWriter(asio::io_context &context);
 
-    void take(Severity severity, std::string_view line);
+    void append(Severity severity, std::string_view line);
     /// Writes what can be written now.
     void flush();
 
 private:
-    void schedule();
+    void scheduleFlush();
 
     asio::steady_timer timer;
     LineBuffer lines;
-    bool scheduled = false;
+    bool isFlushScheduled = false;
 };
 
 } // namespace plantainswitch::gateway
--- a/gateway/performancelogger.cpp
+++ b/gateway/performancelogger.cpp
@@ -19,20 +19,20 @@
     return std::abs(current - last) >= loggedChange * std::abs(last);
 }
 
-bool hasChanged(const ServiceFigures &last, const ServiceFigures &current)
+bool hasChanged(const ServicePerformance &last, const ServicePerformance &current)
 {
     return differs(last.prefillRate, current.prefillRate)
            || differs(last.baseDelay, current.baseDelay)
            || differs(last.delayPerRunning, current.delayPerRunning)
            || differs(last.transferRate, current.transferRate)
-           || differs(last.holdTime, current.holdTime)
+           || differs(last.slotHoldTime, current.slotHoldTime)
            || differs(last.tokensPerRequest, current.tokensPerRequest);
 }
 
 void log(const std::string &service, const ServiceEstimator &estimator,
-         const ServiceFigures &figures)
+         const ServicePerformance &figures)
 {
-    const FigureReport own = estimator.ownReport();
+    const PerformanceReport own = estimator.ownReport();
     logEvent(Event::FiguresEstimated,
              {{"service", service},
               {"prefill_rate", fmt::format("{:.1f}", figures.prefillRate)},
@@ -40,23 +40,23 @@
               {"per_running_ms", fmt::format("{:.3f}", figures.delayPerRunning)},
               {"transfer_rate", fmt::format("{:.1f}", figures.transferRate)},
               {"transfer_setup_ms", fmt::format("{:.1f}", figures.transferSetup)},
-              {"hold_ms", fmt::format("{:.0f}", figures.holdTime)},
+              {"hold_ms", fmt::format("{:.0f}", figures.slotHoldTime)},
               {"tokens_per_request", fmt::format("{:.0f}", figures.tokensPerRequest)},
               {"own_prefills", fmt::format("{:.0f}", own.prefillSamples)},
               {"own_transfers", fmt::format("{:.0f}", own.transferSamples)},
-              {"own_holds", fmt::format("{:.0f}", own.holdSamples)},
+              {"own_holds", fmt::format("{:.0f}", own.slotHoldSamples)},
               {"error_ms", fmt::format("{:.1f}", estimator.meanError())}});
 }
 
 } // namespace
 
-void FigureLog::update(const GatewayState &state)
+void PerformanceLogger::update(const GatewayState &state)
 {
     const TimePoint now = state.clock.now();
     for (const auto &[service, estimator] : state.estimators) {
-        const ServiceFigures figures = estimator.figures(now);
-        Logged &last = this->services[service];
-        const bool isDue = last.when == TimePoint{} || now - last.when >= minLogInterval;
+        const ServicePerformance figures = estimator.performance(now);
+        LoggedPerformance &last = this->lastLogged[service];
+        const bool isDue = last.loggedAt == TimePoint{} || now - last.loggedAt >= minLogInterval;
         if (isDue && hasChanged(last.figures, figures)) {
             log(service, estimator, figures);
             last = {figures, now};
--- a/gateway/performancelogger.h
+++ b/gateway/performancelogger.h
@@ -8,7 +8,7 @@
 namespace plantainswitch::gateway {
 
 /// Logs what upstreams are estimated to be like whenever that has changed.
-class FigureLog
+class PerformanceLogger
 {
 public:
     /// Logs each service whose figures differ by a fifth or more from those logged last, at most
@@ -16,13 +16,13 @@
     void update(const GatewayState &state);
 
 private:
-    struct Logged
+    struct LoggedPerformance
     {
-        ServiceFigures figures;
-        TimePoint when;
+        ServicePerformance figures;
+        TimePoint loggedAt;
     };
 
-    std::map<std::string, Logged> services;
+    std::map<std::string, LoggedPerformance> lastLogged;
 };
 
 } // namespace plantainswitch::gateway
