--- a/gateway/sequentialhttpclient.cpp
+++ b/gateway/sequentialhttpclient.cpp
@@ -11,16 +11,16 @@
 
 } // namespace
 
-void PlainClient::call(const Endpoint &server, std::string_view method, const std::string &target,
-                       const std::string &body, CallLimits newLimits,
-                       std::function<void(PlainReply)> newDone)
+void SequentialHttpClient::call(const Endpoint &server, std::string_view method,
+                                const std::string &target, const std::string &body,
+                                CallTimeouts newLimits, std::function<void(CallReply)> newDone)
 {
     this->done = std::move(newDone);
     this->reply = {};
-    this->calls += 1;
+    this->callCount += 1;
     this->limits = newLimits;
-    this->begun = this->gateway.clock.now();
-    this->heard = this->begun;
+    this->startedAt = this->gateway.clock.now();
+    this->lastReceivedAt = this->startedAt;
     std::string request =
         fmt::format("{} {} HTTP/1.1\r\nHost: {}\r\n", method, target, toText(server));
     if (!body.empty()) {
@@ -28,19 +28,19 @@
             fmt::format("Content-Type: application/json\r\nContent-Length: {}\r\n", body.size());
     }
     request.append("\r\n").append(body);
-    AnswerEvents events{[this](const MessageHead &head) {
-                            this->heard = this->gateway.clock.now();
-                            this->reply.status = head.status;
-                            return true;
-                        },
-                        [this](std::string_view bytes) {
-                            this->heard = this->gateway.clock.now();
-                            this->reply.body.append(bytes);
-                        },
-                        [this](AnswerEnd end) {
-                            this->end(end == AnswerEnd::Whole ? std::move(this->reply)
-                                                              : PlainReply{});
-                        }};
+    ResponseHandlers events{
+        [this](const MessageHead &head) {
+            this->lastReceivedAt = this->gateway.clock.now();
+            this->reply.status = head.status;
+            return true;
+        },
+        [this](std::string_view bytes) {
+            this->lastReceivedAt = this->gateway.clock.now();
+            this->reply.body.append(bytes);
+        },
+        [this](ResponseOutcome end) {
+            this->finish(end == ResponseOutcome::Complete ? std::move(this->reply) : CallReply{});
+        }};
     this->armTimer();
     if (this->connection && this->connection->isReusable() && this->connectedTo == server) {
         this->connection->send(request, std::move(events));
@@ -49,41 +49,41 @@
     this->connection =
         std::make_shared<UpstreamConnection>(this->gateway.context, this->gateway.clock);
     this->connectedTo = server;
-    this->connection->open(server, std::min(connectLimit, newLimits.whole), std::move(request),
-                           std::move(events));
+    this->connection->connectAndSend(server, std::min(connectLimit, newLimits.total),
+                                     std::move(request), std::move(events));
 }
 
-void PlainClient::armTimer()
+void SequentialHttpClient::armTimer()
 {
-    TimePoint due = this->begun + this->limits.whole;
-    if (this->limits.silence.count() > 0) {
-        due = std::min(due, this->heard + this->limits.silence);
+    TimePoint due = this->startedAt + this->limits.total;
+    if (this->limits.idle.count() > 0) {
+        due = std::min(due, this->lastReceivedAt + this->limits.idle);
     }
     this->timer.expires_at(due);
-    this->timer.async_wait([this, due, number = this->calls](const asio::error_code &error) {
-        if (error || number != this->calls || !this->done) {
+    this->timer.async_wait([this, due, number = this->callCount](const asio::error_code &error) {
+        if (error || number != this->callCount || !this->done) {
             return;
         }
-        const bool isOver = due >= this->begun + this->limits.whole;
-        if (!isOver && this->gateway.clock.now() - this->heard < this->limits.silence) {
+        const bool isOver = due >= this->startedAt + this->limits.total;
+        if (!isOver && this->gateway.clock.now() - this->lastReceivedAt < this->limits.idle) {
             this->armTimer();
             return;
         }
-        this->connection->drop();
-        this->end({});
+        this->connection->abort();
+        this->finish({});
     });
 }
 
-void PlainClient::abandon()
+void SequentialHttpClient::cancel()
 {
     this->timer.cancel();
     this->done = nullptr;
     if (this->connection) {
-        this->connection->drop();
+        this->connection->abort();
     }
 }
 
-void PlainClient::end(PlainReply ended)
+void SequentialHttpClient::finish(CallReply ended)
 {
     this->timer.cancel();
     const auto finished = std::move(this->done);
--- a/gateway/storefollower.cpp
+++ b/gateway/storefollower.cpp
@@ -25,13 +25,13 @@
 
 } // namespace
 
-StoreFollower::StoreFollower(GatewayState &gateway, StoreKind kind, FreshnessPolicy policy,
-                             FollowerEvents events)
+StoreFollower::StoreFollower(GatewayState &gateway, StoreObjectKind kind, FreshnessPolicy policy,
+                             FollowerHandlers events)
     : gateway(gateway)
     , kind(kind)
-    , known(gateway.followed[kind])
+    , syncState(gateway.syncStates[kind])
     , policy(policy)
-    , events(std::move(events))
+    , handlers(std::move(events))
     , client(gateway)
     , timer(gateway.context)
 {}
@@ -57,7 +57,7 @@
     this->watching = false;
     this->changedAt.reset();
     this->timer.cancel();
-    this->client.abandon();
+    this->client.cancel();
 }
 
 void StoreFollower::resume()
@@ -65,7 +65,7 @@
     if (this->watching) {
         return;
     }
-    if (!this->paused && this->position() != 0 && !this->client.isBusy()) {
+    if (!this->paused && this->revision() != 0 && !this->client.isBusy()) {
         // Listed a moment ago: what changed since then is told to the watch.
         this->watching = true;
         this->watch();
@@ -76,68 +76,69 @@
     this->failures = 0;
     if (std::exchange(this->listConsistency, ReadConsistency::Linearizable)
         == ReadConsistency::Stale) {
-        this->listing.clear();
+        this->partialList.clear();
     }
     this->list();
 }
 
-void StoreFollower::listAnew()
+void StoreFollower::relist()
 {
     if (!this->watching) {
         return;
     }
     this->timer.cancel();
-    this->client.abandon();
-    this->listing.clear();
+    this->client.cancel();
+    this->partialList.clear();
     this->failures = 1;
     this->list();
 }
 
-void StoreFollower::checkConfirmed(TimePoint fleetConfirmedAt)
+void StoreFollower::checkConfirmation(TimePoint fleetConfirmedAt)
 {
-    this->known.fleetConfirmedAt = std::max(fleetConfirmedAt, this->known.confirmedAt);
-    const bool isWaiting = this->watching && this->client.isBusy() && this->held.count() > 0;
+    this->syncState.fleetConfirmedAt = std::max(fleetConfirmedAt, this->syncState.confirmedAt);
+    const bool isWaiting =
+        this->watching && this->client.isBusy() && this->currentWatchWait.count() > 0;
     if (!isWaiting) {
         return;
     }
-    FreshnessSituation situation;
-    situation.sinceConfirmed = this->gateway.clock.now() - this->known.fleetConfirmedAt;
-    situation.rank = this->confirmRank();
-    situation.answerTimeout = this->answerTimeout.value();
-    situation.held = this->held;
+    ConfirmationState situation;
+    situation.sinceConfirmed = this->gateway.clock.now() - this->syncState.fleetConfirmedAt;
+    situation.rank = this->confirmerRank();
+    situation.responseTimeout = this->responseTimeout.value();
+    situation.currentWatchWait = this->currentWatchWait;
     if (isConfirmationDue(this->policy, situation)) {
-        this->client.abandon();
-        this->watchFor(this->policy.confirmInterval);
+        this->client.cancel();
+        this->startWatch(this->policy.confirmInterval);
         return;
     }
-    if (!isUnconfirmed(this->policy, situation)) {
+    if (!isConfirmationOverdue(this->policy, situation)) {
         return;
     }
     const auto age = std::chrono::duration_cast<Milliseconds>(situation.sinceConfirmed);
     logEvent(Event::StoreUnconfirmed, {{"kind", std::string(nameOf(this->kind))},
-                                       {"revision", std::to_string(this->position())},
+                                       {"revision", std::to_string(this->revision())},
                                        {"age_ms", std::to_string(age.count())},
-                                       {"waited_ms", std::to_string(this->waited().count())},
+                                       {"waited_ms", std::to_string(this->callAge().count())},
                                        {"rank", std::to_string(situation.rank)}});
-    this->listAnew();
+    this->relist();
 }
 
-std::size_t StoreFollower::confirmRank() const
+std::size_t StoreFollower::confirmerRank() const
 {
-    return this->events.confirmRank ? this->events.confirmRank() : 0;
+    return this->handlers.confirmerRank ? this->handlers.confirmerRank() : 0;
 }
 
 bool StoreFollower::isConfirmer() const
 {
-    if (this->confirmRank() > 0) {
+    if (this->confirmerRank() > 0) {
         return false;
     }
     // An answer of the configuration confirms every kind of which the store has no newer change.
-    const bool isNewest = this->position() == this->gateway.newestPosition();
-    return this->kind == StoreKind::Routing || !isNewest;
+    const bool isNewest = this->revision() == this->gateway.latestRevision();
+    return this->kind == StoreObjectKind::Routing || !isNewest;
 }
 
-void StoreFollower::later(Milliseconds delay, void (StoreFollower::*step)())
+void StoreFollower::scheduleStep(Milliseconds delay, void (StoreFollower::*step)())
 {
     this->timer.expires_after(delay);
     this->timer.async_wait([this, step](const asio::error_code &error) {
@@ -147,87 +148,89 @@
     });
 }
 
-void StoreFollower::call(const std::string &target, CallLimits limits,
-                         void (StoreFollower::*done)(const PlainReply &))
+void StoreFollower::call(const std::string &target, CallTimeouts limits,
+                         void (StoreFollower::*done)(const CallReply &))
 {
     this->gateway.metrics.count(Counter::PlatformCalls);
-    this->known.waitingSince = this->gateway.clock.now();
+    this->syncState.callStartedAt = this->gateway.clock.now();
     this->client.call(this->gateway.settings.store, "GET", target, {}, limits,
-                      [this, done](const PlainReply &reply) { (this->*done)(reply); });
+                      [this, done](const CallReply &reply) { (this->*done)(reply); });
 }
 
-Milliseconds StoreFollower::waited() const
+Milliseconds StoreFollower::callAge() const
 {
-    const auto &since = this->known.waitingSince;
+    const auto &since = this->syncState.callStartedAt;
     const Duration span = since ? this->gateway.clock.now() - *since : Duration{0};
     return std::chrono::duration_cast<Milliseconds>(span);
 }
 
-Milliseconds StoreFollower::confirmedAge() const
+Milliseconds StoreFollower::confirmationAge() const
 {
-    const Duration span = this->gateway.clock.now() - this->known.confirmedAt;
+    const Duration span = this->gateway.clock.now() - this->syncState.confirmedAt;
     return std::chrono::duration_cast<Milliseconds>(span);
 }
 
 void StoreFollower::list()
 {
-    if (this->gateway.clock.now() - this->listingBegan > longestListing) {
-        this->listing.clear();
+    if (this->gateway.clock.now() - this->listStartedAt > longestListing) {
+        this->partialList.clear();
     }
-    const std::string after = this->listing.empty() ? std::string() : this->listing.back().name;
-    this->held = Milliseconds{0};
+    const std::string after =
+        this->partialList.empty() ? std::string() : this->partialList.back().name;
+    this->currentWatchWait = Milliseconds{0};
     this->changedAt.reset();
     this->call(this->gateway.dialect.listTarget(this->kind, after, this->listConsistency),
-               {listLimit, std::max(minListTimeout, this->answerTimeout.value())},
-               &StoreFollower::onListed);
+               {listLimit, std::max(minListTimeout, this->responseTimeout.value())},
+               &StoreFollower::onListReply);
 }
 
-void StoreFollower::onListed(const PlainReply &reply)
+void StoreFollower::onListReply(const CallReply &reply)
 {
     auto answer =
-        reply.status == statusOk ? this->gateway.dialect.readList(reply.body) : std::nullopt;
+        reply.status == statusOk ? this->gateway.dialect.parseList(reply.body) : std::nullopt;
     if (!answer) {
         // The pages that have come stay: a store that many ask at once refuses some calls of each,
         // and who began anew each time would never come to the end.
         this->onFailure(reply.status);
         return;
     }
-    this->answerTimeout.recordAnswer(this->waited());
-    this->onAnswered();
-    if (this->listing.empty()) {
-        this->listingBegan = this->gateway.clock.now();
-        this->listingRevision = answer->revision;
+    this->responseTimeout.recordResponse(this->callAge());
+    this->onSuccess();
+    if (this->partialList.empty()) {
+        this->listStartedAt = this->gateway.clock.now();
+        this->listRevision = answer->revision;
     }
-    std::move(answer->items.begin(), answer->items.end(), std::back_inserter(this->listing));
-    if (answer->more && !answer->items.empty()) {
+    std::move(answer->objects.begin(), answer->objects.end(),
+              std::back_inserter(this->partialList));
+    if (answer->hasMore && !answer->objects.empty()) {
         this->list();
         return;
     }
-    this->finishListing();
+    this->finishList();
 }
 
-void StoreFollower::finishListing()
+void StoreFollower::finishList()
 {
     const bool isStale = this->listConsistency == ReadConsistency::Stale;
     this->listConsistency = ReadConsistency::Linearizable;
     if (!isStale) {
         // Changes made while the pages came are found by watching from the first page's revision.
         // Before the last page other routers would take this one for informed, and ask it in vain.
-        this->known.position = this->listingRevision;
-        this->gateway.noteConfirmed(this->listingRevision, this->listingBegan);
-        this->noteChanges(this->listing, this->listingRevision);
+        this->syncState.revision = this->listRevision;
+        this->gateway.recordConfirmation(this->listRevision, this->listStartedAt);
+        this->recordChanges(this->partialList, this->listRevision);
     }
     logEvent(Event::ObjectsListed, {{"kind", std::string(nameOf(this->kind))},
-                                    {"revision", std::to_string(this->listingRevision)},
-                                    {"objects", std::to_string(this->listing.size())},
+                                    {"revision", std::to_string(this->listRevision)},
+                                    {"objects", std::to_string(this->partialList.size())},
                                     {"stale", isStale ? "yes" : "no"},
-                                    {"after_outage", this->wasOut ? "yes" : "no"}});
-    std::vector<StoreItem> items = std::move(this->listing);
-    this->listing.clear();
-    if (std::exchange(this->wasOut, false)) {
-        this->keepUntil = this->gateway.clock.now() + missingGrace;
+                                    {"after_outage", this->hadOutage ? "yes" : "no"}});
+    std::vector<StoreObject> items = std::move(this->partialList);
+    this->partialList.clear();
+    if (std::exchange(this->hadOutage, false)) {
+        this->retainMissingUntil = this->gateway.clock.now() + missingGracePeriod;
     }
-    this->events.onList(std::move(items), this->keepUntil);
+    this->handlers.onList(std::move(items), this->retainMissingUntil);
     if (this->watching) {
         this->watch();
     }
@@ -235,78 +238,81 @@
 
 void StoreFollower::watch()
 {
-    this->watchFor(watchWait(this->policy, this->isConfirmer()));
+    this->startWatch(watchWait(this->policy, this->isConfirmer()));
 }
 
-void StoreFollower::watchFor(Milliseconds wait)
+void StoreFollower::startWatch(Milliseconds wait)
 {
     this->changedAt.reset();
-    this->held = wait;
-    this->call(this->gateway.dialect.watchTarget(this->kind, this->position(), this->held),
-               {this->held + watchSlack, this->held + this->answerTimeout.value()},
-               &StoreFollower::onWatched);
+    this->currentWatchWait = wait;
+    this->call(
+        this->gateway.dialect.watchTarget(this->kind, this->revision(), this->currentWatchWait),
+        {this->currentWatchWait + watchSlack,
+         this->currentWatchWait + this->responseTimeout.value()},
+        &StoreFollower::onWatchReply);
 }
 
-void StoreFollower::onWatched(const PlainReply &reply)
+void StoreFollower::onWatchReply(const CallReply &reply)
 {
     if (this->stopped) {
         return;
     }
     if (reply.status == statusGone) {
-        this->onAnswered();
+        this->onSuccess();
         logEvent(Event::HistoryLost, {{"kind", std::string(nameOf(this->kind))},
-                                      {"revision", std::to_string(this->position())}});
+                                      {"revision", std::to_string(this->revision())}});
         this->list();
         return;
     }
     auto answer =
-        reply.status == statusOk ? this->gateway.dialect.readChanges(reply.body) : std::nullopt;
+        reply.status == statusOk ? this->gateway.dialect.parseChanges(reply.body) : std::nullopt;
     if (!answer) {
         this->onFailure(reply.status);
         return;
     }
-    if (answer->items.empty()) {
-        this->answerTimeout.recordAnswer(std::max(this->waited() - this->held, Milliseconds{0}));
+    if (answer->objects.empty()) {
+        this->responseTimeout.recordResponse(
+            std::max(this->callAge() - this->currentWatchWait, Milliseconds{0}));
     }
-    this->onAnswered();
-    this->known.position = std::max(this->position(), answer->revision);
-    this->gateway.noteConfirmed(answer->revision, this->gateway.clock.now());
-    this->noteChanges(answer->items, answer->revision);
-    if (!answer->items.empty()) {
-        this->events.onChanges(std::move(answer->items), this->keepUntil);
+    this->onSuccess();
+    this->syncState.revision = std::max(this->revision(), answer->revision);
+    this->gateway.recordConfirmation(answer->revision, this->gateway.clock.now());
+    this->recordChanges(answer->objects, answer->revision);
+    if (!answer->objects.empty()) {
+        this->handlers.onChanges(std::move(answer->objects), this->retainMissingUntil);
         this->changedAt = this->gateway.clock.now();
-        this->later(this->policy.gatherPause, &StoreFollower::endPause);
+        this->scheduleStep(this->policy.coalesceDelay, &StoreFollower::endGathering);
         return;
     }
     this->watch();
 }
 
-void StoreFollower::endPause()
+void StoreFollower::endGathering()
 {
     const Duration sinceChange = this->gateway.clock.now() - this->changedAt.value_or(TimePoint{});
-    const bool isStandby = this->events.isStandby && this->events.isStandby();
+    const bool isStandby = this->handlers.isStandby && this->handlers.isStandby();
     if (!isWatchDue(this->policy, sinceChange, isStandby)) {
         // Looks again soon: the first watcher may be lost meanwhile.
-        this->later(this->policy.gatherPause, &StoreFollower::endPause);
+        this->scheduleStep(this->policy.coalesceDelay, &StoreFollower::endGathering);
         return;
     }
     this->watch();
 }
 
-void StoreFollower::noteChanges(const std::vector<StoreItem> &items, std::uint64_t revision)
+void StoreFollower::recordChanges(const std::vector<StoreObject> &items, std::uint64_t revision)
 {
     // A removed object no longer says when it was changed.
     constexpr std::uint64_t first = 1;
     this->lastChange = std::max(this->lastChange, first);
-    for (const StoreItem &item : items) {
+    for (const StoreObject &item : items) {
         this->lastChange = std::max(this->lastChange, item.deleted ? revision : item.revision);
     }
 }
 
-void StoreFollower::onAnswered()
+void StoreFollower::onSuccess()
 {
-    this->refusedAsBusy = false;
-    this->known.waitingSince.reset();
+    this->throttled = false;
+    this->syncState.callStartedAt.reset();
     if (this->failures > 1) {
         logEvent(Event::PlatformBack, {{"kind", std::string(nameOf(this->kind))},
                                        {"failures", std::to_string(this->failures)}});
@@ -318,20 +324,20 @@
 {
     this->failures += 1;
     if (status == 0) {
-        this->answerTimeout.recordTimeout();
+        this->responseTimeout.recordTimeout();
     }
-    this->refusedAsBusy = status == statusTooMany;
+    this->throttled = status == statusTooMany;
     if (this->stopped) {
         return;
     }
-    if (this->failures == 1 && this->position() != 0 && status == 0) {
+    if (this->failures == 1 && this->revision() != 0 && status == 0) {
         // A waiting watch may be cut off at any time: this alone is no outage. But the store cuts
         // watches also when it drops its history, and a new watch from the old revision may then
         // hear nothing for seconds, seen as a revoked key that still opens. A list can't miss it.
         logEvent(Event::WatchCut, {{"kind", std::string(nameOf(this->kind))},
-                                   {"revision", std::to_string(this->position())},
-                                   {"waited_ms", std::to_string(this->waited().count())},
-                                   {"age_ms", std::to_string(this->confirmedAge().count())}});
+                                   {"revision", std::to_string(this->revision())},
+                                   {"waited_ms", std::to_string(this->callAge().count())},
+                                   {"age_ms", std::to_string(this->confirmationAge().count())}});
         this->list();
         return;
     }
@@ -339,15 +345,15 @@
         logEvent(Event::PlatformUnreachable,
                  {{"kind", std::string(nameOf(this->kind))},
                   {"status", std::to_string(status)},
-                  {"waited_ms", std::to_string(this->waited().count())},
-                  {"age_ms", std::to_string(this->confirmedAge().count())},
-                  {"revision", std::to_string(this->position())}});
+                  {"waited_ms", std::to_string(this->callAge().count())},
+                  {"age_ms", std::to_string(this->confirmationAge().count())},
+                  {"revision", std::to_string(this->revision())}});
     }
     // Also before the first list: another router may have told of upstreams meanwhile, whose
     // entries lapsed in the outage.
-    this->wasOut = true;
+    this->hadOutage = true;
     const std::uint64_t seed = hashOf(this->gateway.settings.id, this->failures);
-    this->later(retryPause(this->failures, seed), &StoreFollower::list);
+    this->scheduleStep(retryBackoff(this->failures, seed), &StoreFollower::list);
 }
 
 } // namespace plantainswitch::gateway
--- a/gateway/storeview.cpp
+++ b/gateway/storeview.cpp
@@ -30,13 +30,13 @@
 
 } // namespace
 
-std::string targetOf(const ViewQuestion &question)
+std::string storeViewTarget(const StoreViewQuery &question)
 {
     return fmt::format("{}?since={}&config={}", storeViewPath, question.revision,
                        question.configVersion);
 }
 
-std::optional<ViewQuestion> questionOf(std::string_view target)
+std::optional<StoreViewQuery> parseStoreViewQuery(std::string_view target)
 {
     if (!target.starts_with(storeViewPath)) {
         return std::nullopt;
@@ -46,17 +46,17 @@
     if (!revision || !version) {
         return std::nullopt;
     }
-    return ViewQuestion{*revision, *version};
+    return StoreViewQuery{*revision, *version};
 }
 
-std::string writeStoreView(const StoreView &view, std::uint64_t configVersion,
-                           const ViewQuestion &question)
+std::string serializeStoreView(const StoreView &view, std::uint64_t configVersion,
+                               const StoreViewQuery &question)
 {
     nlohmann::json json{{"revision", view.revision}, {"replicas", nlohmann::json::object()}};
     for (const auto &[name, replica] : view.replicas) {
         if (replica.revision > question.revision) {
             json["replicas"][name] =
-                replica.gone ? nlohmann::json() : nlohmann::json(replica.document);
+                replica.removed ? nlohmann::json() : nlohmann::json(replica.document);
         }
     }
     std::string text = json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -64,12 +64,12 @@
     if (configVersion > question.configVersion) {
         // As it came: quoting hundreds of kilobytes once more would take a small machine's share
         // of a processor for a good part of a second.
-        text += view.routing;
+        text += view.routingDocument;
     }
     return text;
 }
 
-std::optional<StoreView> readStoreView(std::string_view text)
+std::optional<StoreView> parseStoreView(std::string_view text)
 {
     const std::size_t end = text.find('\n');
     const nlohmann::json json = nlohmann::json::parse(text.substr(0, end), nullptr, false);
@@ -79,7 +79,7 @@
     }
     StoreView view;
     view.revision = json["revision"].get<std::uint64_t>();
-    view.routing = text.substr(end + 1);
+    view.routingDocument = text.substr(end + 1);
     for (const auto &[name, document] : json["replicas"].items()) {
         if (document.is_string()) {
             view.replicas[name] = {document.get<std::string>(), false, view.revision};
@@ -90,43 +90,43 @@
     return view;
 }
 
-void noteReplica(StoreView &view, const std::string &name, const std::string &document,
-                 std::uint64_t revision)
+void recordReplica(StoreView &view, const std::string &name, const std::string &document,
+                   std::uint64_t revision)
 {
-    ViewedReplica &known = view.replicas[name];
-    if (known.gone || known.document != document || known.revision == 0) {
+    StoreViewReplica &known = view.replicas[name];
+    if (known.removed || known.document != document || known.revision == 0) {
         known = {document, false, revision};
     }
 }
 
-void noteKnown(StoreView &view, std::uint64_t revision, const ReplicaDirectory &directory)
+void advanceRevision(StoreView &view, std::uint64_t revision, const ReplicaDirectory &directory)
 {
     if (!directory.hasMissing()) {
         view.revision = std::max(view.revision, revision);
     }
 }
 
-bool isOutdated(const StoreView &view, std::uint64_t revision) noexcept
+bool isStale(const StoreView &view, std::uint64_t revision) noexcept
 {
     return revision < view.revision;
 }
 
-void noteGone(StoreView &view, const std::string &name, std::uint64_t heard)
+void recordRemoval(StoreView &view, const std::string &name, std::uint64_t heard)
 {
     // Above all that was told, here or by others that heard as much: whoever asks next hears of it.
     view.replicas[name] = {{}, true, std::max(view.revision, heard) + 1};
 }
 
-bool ViewHandout::begin(std::size_t size, std::function<bool()> hasLeft)
+bool StoreViewLimiter::tryBegin(std::size_t size, std::function<bool()> hasLeft)
 {
-    if (size < largeView) {
+    if (size < largeViewBytes) {
         return true;
     }
-    std::erase_if(this->underWay, [](const auto &isDone) { return isDone(); });
-    if (this->underWay.size() >= mostLargeViews) {
+    std::erase_if(this->transfers, [](const auto &isDone) { return isDone(); });
+    if (this->transfers.size() >= maxConcurrentLargeViews) {
         return false;
     }
-    this->underWay.push_back(std::move(hasLeft));
+    this->transfers.push_back(std::move(hasLeft));
     return true;
 }
 
--- a/gateway/upstreamconnection.cpp
+++ b/gateway/upstreamconnection.cpp
@@ -9,26 +9,27 @@
     , clock(clock)
     , connecting(context)
     , timer(context)
-    , parser(MessageKind::Answer, largestAnswerHead,
+    , parser(MessageKind::Response, maxResponseHeadBytes,
              {[this](MessageHead head) {
-                  this->keepsAlive = head.keepsAlive;
+                  this->keepAlive = head.keepAlive;
                   // Whoever listens may drop this connection meanwhile.
-                  const auto listener = this->events;
-                  this->skipping = listener && !listener->onHead(std::move(head));
+                  const auto listener = this->handlers;
+                  this->skippingResponse = listener && !listener->onHead(std::move(head));
               },
               [this](std::string_view bytes) {
-                  const auto listener = this->events;
-                  if (!this->skipping && listener) {
+                  const auto listener = this->handlers;
+                  if (!this->skippingResponse && listener) {
                       listener->onBody(bytes);
                   }
               }})
 {}
 
-void UpstreamConnection::open(const Endpoint &endpoint, Milliseconds timeout, std::string request,
-                              AnswerEvents newEvents, bool isHead)
+void UpstreamConnection::connectAndSend(const Endpoint &endpoint, Milliseconds timeout,
+                                        std::string request, ResponseHandlers newEvents,
+                                        bool isHead)
 {
     this->busy = true;
-    this->events = std::make_shared<AnswerEvents>(std::move(newEvents));
+    this->handlers = std::make_shared<ResponseHandlers>(std::move(newEvents));
     this->connect(
         endpoint, timeout,
         [weak = this->weak_from_this(), request = std::move(request), isHead](bool isConnected) {
@@ -37,10 +38,10 @@
                 return;
             }
             if (!isConnected) {
-                self->finish(AnswerEnd::NotConnected);
+                self->finish(ResponseOutcome::ConnectFailed);
                 return;
             }
-            self->begin(request, isHead);
+            self->writeRequest(request, isHead);
         });
 }
 
@@ -59,7 +60,7 @@
     this->connecting.async_connect(target,
                                    [self, done = std::move(done)](const asio::error_code &error) {
                                        self->timer.cancel();
-                                       if (self->dropped) {
+                                       if (self->aborted) {
                                            return;
                                        }
                                        if (!error) {
@@ -72,8 +73,8 @@
 void UpstreamConnection::onConnected()
 {
     prepareSocket(this->connecting);
-    this->keepsAlive = true;
-    this->idleFrom = this->clock.now();
+    this->keepAlive = true;
+    this->idleStart = this->clock.now();
     this->stream = std::make_shared<ByteStream>(std::move(this->connecting));
     const std::weak_ptr<UpstreamConnection> weak = this->weak_from_this();
     this->stream->start({[weak](std::string_view bytes) {
@@ -89,25 +90,25 @@
                          {}});
 }
 
-void UpstreamConnection::send(const std::string &request, AnswerEvents newEvents, bool isHead)
+void UpstreamConnection::send(const std::string &request, ResponseHandlers newEvents, bool isHead)
 {
-    static_cast<void>(this->parser.next());
+    static_cast<void>(this->parser.beginNext());
     this->busy = true;
-    this->events = std::make_shared<AnswerEvents>(std::move(newEvents));
-    this->begin(request, isHead);
+    this->handlers = std::make_shared<ResponseHandlers>(std::move(newEvents));
+    this->writeRequest(request, isHead);
 }
 
-void UpstreamConnection::begin(const std::string &request, bool isHead)
+void UpstreamConnection::writeRequest(const std::string &request, bool isHead)
 {
     if (isHead) {
-        this->parser.expectNoBody();
+        this->parser.expectEmptyBody();
     }
     this->stream->write(request);
 }
 
 bool UpstreamConnection::isReusable() const noexcept
 {
-    return !this->busy && this->keepsAlive && this->stream && this->stream->isOpen();
+    return !this->busy && this->keepAlive && this->stream && this->stream->isOpen();
 }
 
 void UpstreamConnection::onBytes(std::string_view bytes)
@@ -116,28 +117,28 @@
     if (!this->busy) {
         // Nobody waits for an answer here: these bytes belong to no request, and what follows
         // them can't be trusted either.
-        this->drop();
+        this->abort();
         return;
     }
-    this->onParsed(this->parser.feed(bytes));
+    this->handleParseState(this->parser.feed(bytes));
 }
 
-void UpstreamConnection::onParsed(ParseState reached)
+void UpstreamConnection::handleParseState(ParseState reached)
 {
     while (this->busy) {
-        if (reached == ParseState::More) {
+        if (reached == ParseState::Incomplete) {
             return;
         }
-        if (reached != ParseState::Whole) {
-            this->finish(AnswerEnd::Garbage);
+        if (reached != ParseState::Complete) {
+            this->finish(ResponseOutcome::Malformed);
             return;
         }
-        if (!this->skipping) {
-            this->finish(AnswerEnd::Whole);
+        if (!this->skippingResponse) {
+            this->finish(ResponseOutcome::Complete);
             return;
         }
-        this->skipping = false;
-        reached = this->parser.next();
+        this->skippingResponse = false;
+        reached = this->parser.beginNext();
     }
 }
 
@@ -149,25 +150,26 @@
     const auto self = this->shared_from_this();
     // Without a length an answer ends with its connection, but only when that ends in order: a
     // reset says that something is missing.
-    if (inOrder && !this->skipping && this->parser.inBody()
-        && this->parser.finish() == ParseState::Whole) {
-        this->keepsAlive = false;
-        this->finish(AnswerEnd::Whole);
+    if (inOrder && !this->skippingResponse && this->parser.inBody()
+        && this->parser.finish() == ParseState::Complete) {
+        this->keepAlive = false;
+        this->finish(ResponseOutcome::Complete);
         return;
     }
-    this->finish(AnswerEnd::Broken);
+    this->finish(ResponseOutcome::ConnectionLost);
 }
 
-void UpstreamConnection::finish(AnswerEnd end)
+void UpstreamConnection::finish(ResponseOutcome end)
 {
     this->busy = false;
-    this->idleFrom = this->clock.now();
-    const auto listener = std::move(this->events);
-    this->events.reset();
-    const bool reusable = end == AnswerEnd::Whole && this->keepsAlive && !this->parser.hasSurplus()
-                          && this->stream && this->stream->queuedBytes() == 0;
+    this->idleStart = this->clock.now();
+    const auto listener = std::move(this->handlers);
+    this->handlers.reset();
+    const bool reusable = end == ResponseOutcome::Complete && this->keepAlive
+                          && !this->parser.hasBufferedBytes() && this->stream
+                          && this->stream->queuedBytes() == 0;
     if (!reusable) {
-        this->keepsAlive = false;
+        this->keepAlive = false;
         if (this->stream) {
             this->stream->close();
         }
@@ -177,12 +179,12 @@
     }
 }
 
-void UpstreamConnection::drop()
+void UpstreamConnection::abort()
 {
-    this->dropped = true;
+    this->aborted = true;
     this->busy = false;
-    this->keepsAlive = false;
-    this->events.reset();
+    this->keepAlive = false;
+    this->handlers.reset();
     this->timer.cancel();
     asio::error_code ignored;
     this->connecting.close(ignored);
--- a/gateway/upstreamregistry.cpp
+++ b/gateway/upstreamregistry.cpp
@@ -4,7 +4,7 @@
 
 namespace plantainswitch::gateway {
 
-void Upstreams::take(const std::vector<ReplicaEvent> &events)
+void UpstreamRegistry::apply(const std::vector<ReplicaEvent> &events)
 {
     if (events.empty()) {
         return;
@@ -12,20 +12,20 @@
     for (const ReplicaEvent &event : events) {
         const std::string &id = event.replica.id;
         switch (event.change) {
-        case ReplicaChange::Gone:
+        case ReplicaChange::Removed:
             if (const auto known = this->byId.find(id); known != this->byId.end()) {
-                this->idle.erase(lifeOf(known->second->replica));
+                this->idleConnections.erase(incarnationOf(known->second->replica));
                 this->byId.erase(known);
             }
             break;
-        case ReplicaChange::Reborn:
-        case ReplicaChange::Appeared:
+        case ReplicaChange::Restarted:
+        case ReplicaChange::Added:
         case ReplicaChange::Moved:
             // A new life holds nothing and owes nothing; requests of the old one keep its state.
             this->byId[id] = std::make_shared<UpstreamState>();
             this->byId[id]->replica = event.replica;
             break;
-        case ReplicaChange::Leaving: {
+        case ReplicaChange::Draining: {
             auto &state = this->byId[id];
             if (!state) {
                 state = std::make_shared<UpstreamState>();
@@ -35,56 +35,57 @@
         }
         }
     }
-    this->rebuild();
+    this->rebuildIndexes();
 }
 
-void Upstreams::rebuild()
+void UpstreamRegistry::rebuildIndexes()
 {
     this->byService.clear();
-    this->byLife.clear();
+    this->byIncarnation.clear();
     for (const auto &[id, state] : this->byId) {
         this->byService[state->replica.service].push_back(state.get());
-        this->byLife[lifeOf(state->replica)] = state.get();
+        this->byIncarnation[incarnationOf(state->replica)] = state.get();
     }
 }
 
-std::span<UpstreamState *const> Upstreams::ofService(const std::string &service) const
+std::span<UpstreamState *const> UpstreamRegistry::ofService(const std::string &service) const
 {
     const auto found = this->byService.find(service);
     return found == this->byService.end() ? std::span<UpstreamState *const>{}
                                           : std::span<UpstreamState *const>{found->second};
 }
 
-std::vector<UpstreamState *> Upstreams::inDataCentre(const std::string &dataCentre) const
+std::vector<UpstreamState *> UpstreamRegistry::inDataCentre(const std::string &dataCentre) const
 {
     std::vector<UpstreamState *> found;
     for (const auto &[id, state] : this->byId) {
-        if (state->replica.place == dataCentre && !state->replica.leaving) {
+        if (state->replica.dataCentre == dataCentre && !state->replica.draining) {
             found.push_back(state.get());
         }
     }
     return found;
 }
 
-std::shared_ptr<UpstreamState> Upstreams::share(const std::string &id) const
+std::shared_ptr<UpstreamState> UpstreamRegistry::find(const std::string &id) const
 {
     const auto found = this->byId.find(id);
     return found == this->byId.end() ? nullptr : found->second;
 }
 
-UpstreamState *Upstreams::findLife(std::uint64_t life) const
+UpstreamState *UpstreamRegistry::findIncarnation(std::uint64_t life) const
 {
-    const auto found = this->byLife.find(life);
-    return found == this->byLife.end() ? nullptr : found->second;
+    const auto found = this->byIncarnation.find(life);
+    return found == this->byIncarnation.end() ? nullptr : found->second;
 }
 
-std::shared_ptr<UpstreamConnection> Upstreams::takeIdle(const UpstreamState &state, bool mayRepeat)
+std::shared_ptr<UpstreamConnection> UpstreamRegistry::acquireIdle(const UpstreamState &state,
+                                                                  bool mayRepeat)
 {
-    const auto found = this->idle.find(lifeOf(state.replica));
-    if (found == this->idle.end()) {
+    const auto found = this->idleConnections.find(incarnationOf(state.replica));
+    if (found == this->idleConnections.end()) {
         return nullptr;
     }
-    const Milliseconds allowed = mayRepeat ? longestIdle : longestIdleOnce;
+    const Milliseconds allowed = mayRepeat ? maxIdleTime : maxIdleTimeAtMostOnce;
     auto &connections = found->second;
     while (!connections.empty()) {
         auto connection = std::move(connections.back());
@@ -96,32 +97,33 @@
             connections.push_back(std::move(connection));
             return nullptr;
         }
-        connection->drop();
+        connection->abort();
     }
     return nullptr;
 }
 
-void Upstreams::giveBack(const UpstreamState &state, std::shared_ptr<UpstreamConnection> connection)
+void UpstreamRegistry::release(const UpstreamState &state,
+                               std::shared_ptr<UpstreamConnection> connection)
 {
     if (connection->isReusable()) {
-        this->idle[lifeOf(state.replica)].push_back(std::move(connection));
+        this->idleConnections[incarnationOf(state.replica)].push_back(std::move(connection));
     }
 }
 
-void Upstreams::closeStale()
+void UpstreamRegistry::closeIdle()
 {
     const TimePoint now = this->clock.now();
-    for (auto &[life, connections] : this->idle) {
+    for (auto &[life, connections] : this->idleConnections) {
         std::erase_if(connections, [now](const std::shared_ptr<UpstreamConnection> &connection) {
             const bool stale =
-                !connection->isReusable() || now - connection->idleSince() > longestIdle;
+                !connection->isReusable() || now - connection->idleSince() > maxIdleTime;
             if (stale) {
-                connection->drop();
+                connection->abort();
             }
             return stale;
         });
     }
-    std::erase_if(this->idle, [](const auto &entry) { return entry.second.empty(); });
+    std::erase_if(this->idleConnections, [](const auto &entry) { return entry.second.empty(); });
 }
 
 } // namespace plantainswitch::gateway
--- a/gateway/upstreamregistry.h
+++ b/gateway/upstreamregistry.h
@@ -16,57 +16,58 @@
 
 /// Idle time after which a connection is not used again. A silent or forgotten connection shows
 /// only by a time-out, which costs its request more than a new connection costs the upstream.
-inline constexpr Milliseconds longestIdle{1000};
+inline constexpr Milliseconds maxIdleTime{1000};
 /// The same for requests that may run at most once: if the connection is found dead, nobody can
 /// tell whether the request ran, and it must be given up.
-inline constexpr Milliseconds longestIdleOnce{150};
+inline constexpr Milliseconds maxIdleTimeAtMostOnce{150};
 
 /// Time for a connection to an upstream to come about. Some fifty round trips between data
 /// centres; longer ones would cost a caller's whole objective before another upstream is tried.
-inline constexpr Milliseconds upstreamConnectLimit{250};
+inline constexpr Milliseconds upstreamConnectTimeout{250};
 
 /// The upstreams that this router knows, what it has learnt of them, and its connections.
-class Upstreams
+class UpstreamRegistry
 {
 public:
-    Upstreams(asio::io_context &context, const Clock &clock)
+    UpstreamRegistry(asio::io_context &context, const Clock &clock)
         : context(context)
         , clock(clock)
     {}
 
     /// Takes what changed in the list of upstreams.
-    void take(const std::vector<ReplicaEvent> &events);
+    void apply(const std::vector<ReplicaEvent> &events);
     /// \returns the state of all upstreams of \a service.
     [[nodiscard]] std::span<UpstreamState *const> ofService(const std::string &service) const;
     /// \returns the state of all upstreams of a data centre that take new work.
     [[nodiscard]] std::vector<UpstreamState *> inDataCentre(const std::string &dataCentre) const;
     /// \returns the state of an upstream, or nullptr when it is gone. Requests hold it beyond that.
-    [[nodiscard]] std::shared_ptr<UpstreamState> share(const std::string &id) const;
+    [[nodiscard]] std::shared_ptr<UpstreamState> find(const std::string &id) const;
     /// \returns the state of an upstream's life, or nullptr when it is gone.
-    [[nodiscard]] UpstreamState *findLife(std::uint64_t life) const;
+    [[nodiscard]] UpstreamState *findIncarnation(std::uint64_t life) const;
     [[nodiscard]] const std::map<std::string, std::shared_ptr<UpstreamState>> &all() const noexcept
     {
         return this->byId;
     }
 
     /// \returns an idle connection to the upstream, or nullptr.
-    std::shared_ptr<UpstreamConnection> takeIdle(const UpstreamState &state, bool mayRepeat);
+    std::shared_ptr<UpstreamConnection> acquireIdle(const UpstreamState &state, bool mayRepeat);
     /// Takes a connection back that may carry a further request.
-    void giveBack(const UpstreamState &state, std::shared_ptr<UpstreamConnection> connection);
+    void release(const UpstreamState &state, std::shared_ptr<UpstreamConnection> connection);
     /// Closes connections that were idle for too long.
-    void closeStale();
+    void closeIdle();
 
-    ChainMemory memory;
+    PrefixIndex prefixIndex;
 
 private:
-    void rebuild();
+    void rebuildIndexes();
 
     asio::io_context &context;
     const Clock &clock;
     std::map<std::string, std::shared_ptr<UpstreamState>> byId;
     std::unordered_map<std::string, std::vector<UpstreamState *>> byService;
-    std::unordered_map<std::uint64_t, UpstreamState *> byLife;
-    std::unordered_map<std::uint64_t, std::vector<std::shared_ptr<UpstreamConnection>>> idle;
+    std::unordered_map<std::uint64_t, UpstreamState *> byIncarnation;
+    std::unordered_map<std::uint64_t, std::vector<std::shared_ptr<UpstreamConnection>>>
+        idleConnections;
 };
 
 } // namespace plantainswitch::gateway
--- a/include/plantainswitch/base/error.h
+++ b/include/plantainswitch/base/error.h
@@ -36,7 +36,7 @@
 };
 
 /// What a refusal says of the request's execution.
-enum class Ran : std::uint8_t { No, Yes, Unknown };
+enum class ExecutionStatus : std::uint8_t { No, Yes, Unknown };
 
 /// The answer that belongs to one error kind.
 struct ErrorRow
@@ -44,10 +44,10 @@
     ErrorKind kind;
     std::string_view name;
     int status;
-    Ran ran;
+    ExecutionStatus ran;
     /// Seconds after which a repeat makes sense; empty when a repeat can't help.
     std::optional<int> retryAfter;
-    std::string_view sentence;
+    std::string_view message;
 };
 
 /// \returns the row of \a kind in the one table from kind to answer.
@@ -57,7 +57,7 @@
 [[nodiscard]] std::optional<ErrorKind> errorKindOf(std::string_view name) noexcept;
 
 /// \returns "no", "yes" or "unknown".
-[[nodiscard]] std::string_view nameOf(Ran ran) noexcept;
+[[nodiscard]] std::string_view nameOf(ExecutionStatus ran) noexcept;
 
 /// Last reason beside an empty std::optional: what went wrong, and where.
 struct Reason
--- a/include/plantainswitch/base/lockorder.h
+++ b/include/plantainswitch/base/lockorder.h
@@ -14,7 +14,7 @@
     Upstreams = 40,
     Limits = 50,
     Slots = 60,
-    Keeper = 70,
+    ShardCoordinator = 70,
     Claims = 80,
     Suspects = 90,
     Explain = 100,
--- a/include/plantainswitch/catalogue/entry.h
+++ b/include/plantainswitch/catalogue/entry.h
@@ -25,7 +25,7 @@
 struct DataClass
 {
     std::string owner;
-    std::vector<std::string> places;
+    std::vector<std::string> dataCentres;
     /// Longest time a router serves this class by a catalogue it can't refresh; 0: no limit.
     std::uint32_t maxStaleSeconds = 0;
 };
@@ -68,9 +68,9 @@
     /// Whether the engines refuse an order with an old fencing number.
     bool checkFencing = false;
     /// Engines of a place that load at a time.
-    std::uint32_t loadsAtOnce = 1;
+    std::uint32_t maxConcurrentLoads = 1;
     /// Part of a place's engines that stays ready, in percent.
-    std::uint32_t readyPercent = 70;
+    std::uint32_t minReadyPercent = 70;
 };
 
 /// A routed service: a model pool or a plain application.
@@ -105,7 +105,7 @@
     std::uint64_t version = 0;
     std::optional<EntryBody> body;
     /// Text of this version when it can't be read; \a body is the last one that could be.
-    std::optional<std::string> unread = std::nullopt;
+    std::optional<std::string> unreadableText = std::nullopt;
 };
 
 } // namespace plantainswitch
--- a/include/plantainswitch/catalogue/parse.h
+++ b/include/plantainswitch/catalogue/parse.h
@@ -35,7 +35,7 @@
 
 /// Levels of nesting that a document may have. Copying and printing a document recurse once a
 /// level: without a bound one object of the platform would overflow every router's stack at once.
-inline constexpr std::size_t deepestJson = 100;
+inline constexpr std::size_t maxJsonDepth = 100;
 
 /// Reads \a text as JSON without exceptions. Malformed or too deeply nested text is a fault, and
 /// so is a field that stands twice, of which two readers may each take another one.
--- a/include/plantainswitch/catalogue/table.h
+++ b/include/plantainswitch/catalogue/table.h
@@ -24,16 +24,16 @@
     SharedMap<std::string, Workspace> workspaces;
     SharedMap<std::string, Service> services;
     /// Token hash to workspace names, so that look-up doesn't walk every workspace.
-    SharedMap<std::uint64_t, std::vector<std::string>> tokens;
+    SharedMap<std::uint64_t, std::vector<std::string>> workspacesByTokenHash;
     /// Highest version taken in.
     std::uint64_t version = 0;
 };
 
 /// How complete and how fresh a router's catalogue is.
-struct CatalogueStanding
+struct CatalogueFreshness
 {
     /// Every change up to this version is known.
-    std::uint64_t completeTo = 0;
+    std::uint64_t completeVersion = 0;
     /// When the platform last confirmed that, if ever.
     std::optional<TimePoint> confirmedAt;
 };
@@ -52,18 +52,18 @@
 
     /// Marks that every change up to \a version is known, and that the platform confirmed so at
     /// \a at, itself or through a peer. Neither ever goes back.
-    void complete(std::uint64_t version, std::optional<TimePoint> at);
+    void markComplete(std::uint64_t version, std::optional<TimePoint> at);
     /// Marks that a peer, complete to \a version, was fresh from the platform at \a at. Counts
     /// only when this table is complete to just there: a peer that knows less may have asked a
     /// platform that was set back.
-    void confirm(std::uint64_t version, TimePoint at);
+    void markConfirmed(std::uint64_t version, TimePoint at);
 
     /// \returns the view in force, or nothing before any entry is known.
     [[nodiscard]] std::shared_ptr<const CatalogueView> view() const;
     /// \returns every entry with a version above \a version, tombstones included.
-    [[nodiscard]] std::vector<Entry> entriesAbove(std::uint64_t version) const;
+    [[nodiscard]] std::vector<Entry> entriesSince(std::uint64_t version) const;
     /// \returns how complete and how fresh the catalogue is.
-    [[nodiscard]] CatalogueStanding standing() const;
+    [[nodiscard]] CatalogueFreshness freshness() const;
     /// \returns the time since the catalogue was last confirmed; the longest if never.
     [[nodiscard]] Duration staleness(TimePoint now) const;
     /// \returns the entries whose newest version can't be read here.
@@ -73,18 +73,18 @@
     mutable RankedMutex mutex{LockRank::Catalogue};
     std::map<EntryKey, Entry> entries;
     std::shared_ptr<const CatalogueView> current;
-    CatalogueStanding reached;
+    CatalogueFreshness currentFreshness;
 };
 
 /// What a caller may do, taken from one view of the catalogue.
-struct Admission
+struct Authorization
 {
     std::string workspace;
-    Workspace limits;
+    Workspace workspaceEntry;
     std::string service;
     Service serviceEntry;
     /// Places that both the workspace's and the service's data class permit.
-    std::vector<std::string> places;
+    std::vector<std::string> dataCentres;
     std::uint64_t catalogueVersion = 0;
 };
 
@@ -95,12 +95,12 @@
 /// \param staleness time since the catalogue was last confirmed
 /// \param reason receives why not
 /// \returns the admission, or nothing.
-[[nodiscard]] std::optional<Admission> admit(const CatalogueView &view, std::string_view token,
-                                             std::string_view service, Duration staleness,
-                                             Reason &reason);
+[[nodiscard]] std::optional<Authorization> admit(const CatalogueView &view, std::string_view token,
+                                                 std::string_view service, Duration staleness,
+                                                 Reason &reason);
 
 /// \returns whether \a admission permits \a place.
-[[nodiscard]] bool permits(const Admission &admission, std::string_view place) noexcept;
+[[nodiscard]] bool permits(const Authorization &admission, std::string_view place) noexcept;
 
 /// Compares in a time that depends on the lengths only.
 [[nodiscard]] bool equalInConstantTime(std::string_view first, std::string_view second) noexcept;
--- a/include/plantainswitch/claims/claim.h
+++ b/include/plantainswitch/claims/claim.h
@@ -37,13 +37,13 @@
 };
 
 /// Number of slices of the key space; equal on all routers for ever, as each key has one log.
-inline constexpr std::uint32_t claimSlices = 16;
+inline constexpr std::uint32_t claimSliceCount = 16;
 
 /// \returns the slice whose log holds \a id.
 [[nodiscard]] std::uint32_t sliceOf(const ClaimId &id) noexcept;
 
 /// A router asks a slice's usual writer to write a claim. A repeat with the same nonce is harmless.
-struct ClaimAsk
+struct ClaimRequest
 {
     Claim claim;
     /// When the caller made its key, if it says so; 0: it doesn't.
--- a/include/plantainswitch/claims/log.h
+++ b/include/plantainswitch/claims/log.h
@@ -17,25 +17,25 @@
 struct ClaimLogLimits
 {
     /// Positions whose entries one segment gathers.
-    std::uint64_t segmentPositions = 256;
+    std::uint64_t positionsPerSegment = 256;
     /// Segments that are kept; what they hold is what the log remembers.
-    std::uint64_t segments = 64;
+    std::uint64_t maxSegments = 64;
     /// Entries of one position; with segmentPositions it keeps a segment below a megabyte.
-    std::size_t batch = 44;
+    std::size_t maxEntriesPerPosition = 44;
     /// Shortest time between the writes of two positions.
-    Duration pace = Milliseconds{60};
+    Duration writeInterval = Milliseconds{60};
     /// Most doublings of the pace after races lost in a row; 0: no backing off.
-    unsigned mostDoublings = 3;
+    unsigned maxBackoffDoublings = 3;
     /// Time after a lost race for which the writer takes care of others.
-    Duration contention = Milliseconds{2000};
+    Duration contentionWindow = Milliseconds{2000};
     /// Time between tries while the store fails.
-    Duration retryPause = Milliseconds{100};
+    Duration retryDelay = Milliseconds{100};
     /// Age at which the view of the log is brought up to date before it decides.
-    Duration freshness = Milliseconds{1000};
+    Duration maxViewAge = Milliseconds{1000};
     /// Asks that may wait for their write.
-    std::size_t mostPending = 4096;
+    std::size_t maxPending = 4096;
     /// How far the clocks of callers and routers may differ.
-    Milliseconds clockSkew{60'000};
+    Milliseconds maxClockSkew{60'000};
 };
 
 /// An entry of the log: a claim, or its release by its owner.
@@ -66,7 +66,7 @@
 };
 
 /// How a call on the store ended.
-struct StoreAnswer
+struct StoreResponse
 {
     StoreOutcome outcome = StoreOutcome::Unknown;
     std::uint64_t version = 0;
@@ -80,18 +80,18 @@
 /// time can't win one that somebody else has written since: versions are never used again.
 struct ClaimLog
 {
-    enum class Phase : std::uint8_t { Segments, Positions, Ready };
-    struct Waiting
+    enum class Phase : std::uint8_t { LoadingSegments, ReadingPositions, Ready };
+    struct PendingClaim
     {
-        ClaimAsk ask;
+        ClaimRequest request;
     };
-    struct InFlight
+    struct PendingWrite
     {
         StoreCall call;
         std::vector<ClaimLogEntry> entries;
-        bool segment = false;
+        bool isSegment = false;
         /// An earlier try may have taken effect.
-        bool uncertain = false;
+        bool mayHaveTakenEffect = false;
     };
     struct Segment
     {
@@ -103,27 +103,27 @@
     std::uint64_t writer = 0;
     ClaimLogLimits limits;
 
-    Phase phase = Phase::Segments;
-    std::uint64_t loadSlot = 0;
+    Phase phase = Phase::LoadingSegments;
+    std::uint64_t nextSegmentSlot = 0;
     std::map<std::uint64_t, Segment> loadedSegments;
 
-    std::uint64_t next = 0;
-    std::uint64_t sealed = 0;
-    std::uint64_t batches = 0;
+    std::uint64_t nextPosition = 0;
+    std::uint64_t sealedSegmentCount = 0;
+    std::uint64_t batchCount = 0;
     std::map<std::string, std::uint64_t> versions;
     std::map<ClaimId, Claim> claims;
     /// Entries of the positions after the last segment.
-    std::vector<ClaimLogEntry> open;
-    std::deque<Segment> kept;
+    std::vector<ClaimLogEntry> unsealedEntries;
+    std::deque<Segment> segments;
     /// Time of the newest entry that was forgotten.
     std::uint64_t horizon = 0;
     std::uint64_t lastTime = 0;
 
-    std::vector<Waiting> pending;
+    std::vector<PendingClaim> pending;
     std::vector<Claim> releases;
-    std::optional<InFlight> inFlight;
-    bool calling = false;
-    TimePoint writeAfter;
+    std::optional<PendingWrite> pendingWrite;
+    bool callOutstanding = false;
+    TimePoint nextWriteAt;
     /// Races for a position lost in a row.
     unsigned lostRaces = 0;
     /// Until then another writer is held to be at work.
@@ -134,12 +134,12 @@
 
 /// \returns the time from a try for a position to the next: the pace; the doubled pace with up to
 /// half of it in jitter while others write too; doubled again for each race lost in a row.
-[[nodiscard]] Duration paceOf(const ClaimLogLimits &limits, bool contended, unsigned lostRaces,
-                              std::uint64_t seed) noexcept;
+[[nodiscard]] Duration nextWriteInterval(const ClaimLogLimits &limits, bool contended,
+                                         unsigned lostRaces, std::uint64_t seed) noexcept;
 
 /// Queues an ask; a repeat of the same nonce is taken once.
 /// \returns false when there is no room.
-bool enqueueClaim(ClaimLog &log, const ClaimAsk &ask);
+bool enqueueClaim(ClaimLog &log, const ClaimRequest &ask);
 
 /// Gives a claim up that its owner has not used and never will use: one that waits is dropped,
 /// one that is written or may be gets a release entry.
@@ -151,11 +151,12 @@
 
 /// Takes the answer of the call that is out.
 /// \returns the asks that are decided by it.
-std::vector<ClaimReply> takeStoreAnswer(ClaimLog &log, const StoreAnswer &answer, TimePoint now);
+std::vector<ClaimReply> handleStoreResponse(ClaimLog &log, const StoreResponse &answer,
+                                            TimePoint now);
 
 /// \returns the verdicts that the log's present view allows without a call, such as after
 /// enqueueClaim().
-std::vector<ClaimReply> settleClaims(ClaimLog &log, TimePoint now);
+std::vector<ClaimReply> decideClaims(ClaimLog &log, TimePoint now);
 
 /// \returns when nextStoreCall() is to be asked again, or nothing while there is nothing to do.
 [[nodiscard]] std::optional<TimePoint> wakeTime(const ClaimLog &log, TimePoint now);
--- a/include/plantainswitch/claims/ownclaims.h
+++ b/include/plantainswitch/claims/ownclaims.h
@@ -16,7 +16,7 @@
 namespace plantainswitch {
 
 /// How far a claim's owner has come with it.
-enum class OwnState : std::uint8_t {
+enum class OwnClaimState : std::uint8_t {
     /// Nothing is remembered of the claim.
     Unknown,
     /// Being written, or written and about to be dispatched.
@@ -30,10 +30,10 @@
     /// Dispatched, and the upstream didn't say what became of it.
     Lost,
 };
-[[nodiscard]] std::string_view nameOf(OwnState state) noexcept;
+[[nodiscard]] std::string_view nameOf(OwnClaimState state) noexcept;
 
 /// The answer of a request that ran, kept for its repeats.
-struct KeptAnswer
+struct CachedResponse
 {
     int status = 0;
     std::string contentType;
@@ -44,38 +44,38 @@
 struct OwnClaim
 {
     Claim claim;
-    OwnState state = OwnState::Unknown;
+    OwnClaimState state = OwnClaimState::Unknown;
     TimePoint since;
-    std::optional<KeptAnswer> answer;
+    std::optional<CachedResponse> response;
 };
 
 /// Bounds on what an owner remembers.
-struct OwnLimits
+struct OwnClaimLimits
 {
-    Duration keepAnswers = Seconds{600};
-    std::size_t answerBytes = 16 << 20;
-    std::size_t claims = 50'000;
+    Duration responseRetention = Seconds{600};
+    std::size_t maxResponseBytes = 16 << 20;
+    std::size_t maxEndedClaims = 50'000;
 };
 
 /// What this router knows of its own claims. Forgetting is safe: it says "unknown" then.
 struct OwnClaims
 {
-    OwnLimits limits;
+    OwnClaimLimits limits;
     std::map<std::uint64_t, OwnClaim> byNonce;
-    std::map<ClaimId, std::uint64_t> newest;
-    std::deque<std::uint64_t> ended;
-    std::deque<std::uint64_t> answered;
-    std::size_t answerBytes = 0;
+    std::map<ClaimId, std::uint64_t> newestNonceById;
+    std::deque<std::uint64_t> endedOrder;
+    std::deque<std::uint64_t> responseOrder;
+    std::size_t responseBytes = 0;
 };
 
 /// Begins a claim.
 void beginClaim(OwnClaims &own, const Claim &claim, TimePoint now);
 /// \returns whether the owner may dispatch: the claim was not given up meanwhile.
-[[nodiscard]] bool startClaim(OwnClaims &own, std::uint64_t nonce, TimePoint now);
+[[nodiscard]] bool dispatchClaim(OwnClaims &own, std::uint64_t nonce, TimePoint now);
 /// Ends a claim in Abandoned, Done or Lost. A dispatched claim is never abandoned, but by
 /// \a notRun: its upstream is known not to have run it.
-void endClaim(OwnClaims &own, std::uint64_t nonce, OwnState state, std::optional<KeptAnswer> answer,
-              TimePoint now, bool notRun = false);
+void endClaim(OwnClaims &own, std::uint64_t nonce, OwnClaimState state,
+              std::optional<CachedResponse> answer, TimePoint now, bool notRun = false);
 /// \returns what is known of the claim with that nonce.
 [[nodiscard]] OwnClaim ownClaimOf(const OwnClaims &own, std::uint64_t nonce);
 /// \returns what is known of the newest claim on \a id.
@@ -85,16 +85,17 @@
 /// \param content of the repeat
 /// \param holder of the key
 /// \param state as the owner tells it; Unknown when the owner can't be asked
-[[nodiscard]] Reason repeatReason(std::uint64_t content, const Claim &holder, OwnState state);
+[[nodiscard]] Reason duplicateRequestReason(std::uint64_t content, const Claim &holder,
+                                            OwnClaimState state);
 
 /// The same behind a lock.
 class OwnClaimTable
 {
 public:
     void begin(const Claim &claim, TimePoint now);
-    [[nodiscard]] bool start(std::uint64_t nonce, TimePoint now);
-    void end(std::uint64_t nonce, OwnState state, std::optional<KeptAnswer> answer, TimePoint now,
-             bool notRun = false);
+    [[nodiscard]] bool dispatch(std::uint64_t nonce, TimePoint now);
+    void end(std::uint64_t nonce, OwnClaimState state, std::optional<CachedResponse> answer,
+             TimePoint now, bool notRun = false);
     [[nodiscard]] OwnClaim find(std::uint64_t nonce) const;
     [[nodiscard]] OwnClaim newest(const ClaimId &id) const;
 
--- a/include/plantainswitch/limits/fairqueue.h
+++ b/include/plantainswitch/limits/fairqueue.h
@@ -16,33 +16,33 @@
 struct QueueSettings
 {
     /// Longest queue of one workspace for each unit of its weight.
-    std::size_t mostForWeight = 256;
+    std::size_t maxPerWeight = 256;
     /// Longest queue of the shard.
-    std::size_t mostInAll = 4096;
+    std::size_t maxTotal = 4096;
 };
 
 /// A router's ask that waits for a slot.
-struct QueuedAsk
+struct QueuedRequest
 {
     std::uint64_t router = 0;
-    SlotAsk ask;
-    TimePoint arrived;
-    TimePoint expires;
+    SlotRequest request;
+    TimePoint arrivedAt;
+    TimePoint expiresAt;
     /// When its router last repeated it.
-    TimePoint heard;
+    TimePoint lastRepeatedAt;
 };
 
 /// Time without a repeat after which a waiting ask's router counts as gone. A slot granted to a
 /// router that vanished would stay taken until the member timeout; routers repeat waiting asks
 /// several times within this time.
-inline constexpr Duration askerTimeout = Seconds{1};
+inline constexpr Duration requesterTimeout = Seconds{1};
 
 /// The waiting asks of one workspace: higher priorities first, then in order of arrival.
 struct QueueFlow
 {
-    std::deque<QueuedAsk> waiting;
+    std::deque<QueuedRequest> waiting;
     /// Virtual start time of the flow's next ask.
-    double start = 0;
+    double startTag = 0;
     std::uint32_t weight = 1;
 };
 
@@ -69,11 +69,11 @@
 };
 
 /// How an ask fared at the queue.
-struct QueueOutcome
+struct EnqueueResult
 {
     QueueVerdict verdict = QueueVerdict::Refused;
     /// Wait to be expected now; with a refusal, when to come back.
-    Duration expected{0};
+    Duration expectedWait{0};
 };
 
 /// \returns the wait to be expected by the next ask of a workspace: what is ahead of it in its
@@ -82,22 +82,22 @@
                                     std::uint32_t weight);
 
 /// Queues an ask, for at most the wait that it carries.
-QueueOutcome enqueueAsk(FairQueue &queue, std::uint64_t router, const SlotAsk &ask,
-                        const QueueSettings &settings, TimePoint now);
+EnqueueResult enqueueRequest(FairQueue &queue, std::uint64_t router, const SlotRequest &ask,
+                             const QueueSettings &settings, TimePoint now);
 
 /// Takes out the asks that have waited too long or whose router is silent. They were not granted
 /// and never will be.
-[[nodiscard]] std::vector<QueuedAsk> expireAsks(FairQueue &queue, TimePoint now);
+[[nodiscard]] std::vector<QueuedRequest> expireRequests(FairQueue &queue, TimePoint now);
 
 /// \returns the ask that is next, which stays in the queue; nothing when the queue is empty.
-[[nodiscard]] const QueuedAsk *nextAsk(const FairQueue &queue);
+[[nodiscard]] const QueuedRequest *peekRequest(const FairQueue &queue);
 
 /// Takes the ask that nextAsk() gave out of the queue.
 /// \param served whether it got a slot, which its workspace then has to pay for
-void popAsk(FairQueue &queue, bool served, TimePoint now);
+void popRequest(FairQueue &queue, bool served, TimePoint now);
 
 /// Takes out an ask whose router gave up. \returns whether it was waiting.
-bool cancelAsk(FairQueue &queue, const SlotKey &key);
+bool cancelRequest(FairQueue &queue, const SlotKey &key);
 
 /// Takes out all asks of a router that is gone.
 void cancelRouter(FairQueue &queue, std::uint64_t router);
--- a/include/plantainswitch/limits/shares.h
+++ b/include/plantainswitch/limits/shares.h
@@ -23,18 +23,18 @@
 struct ShareSettings
 {
     /// A share that its router may use without hearing from the owner again.
-    Duration lease = Seconds{5};
+    Duration leaseDuration = Seconds{5};
     /// Least time between two reports of one workspace.
     Duration reportPeriod = Seconds{1};
     /// Part of the limit that is kept for routers without a share, split evenly over all known.
-    double reserve = 0.1;
+    double reserveFraction = 0.1;
     /// Part of the limit that is split evenly over the routers that report.
-    double floorPart = 0.1;
+    double evenFraction = 0.1;
     /// Seconds of its rate that a router may save up.
     double burstSeconds = 1.0;
     /// Requests that a router may save up whatever its rate. With one only, two requests at
     /// once of a workspace far below its limit would be refused before the owner has answered.
-    double leastBurst = 2.0;
+    double minBurst = 2.0;
 };
 
 /// Routers as one router counts them. What is known lags behind what is active when routers
@@ -44,13 +44,13 @@
     std::size_t active = 1;
     std::size_t known = 1;
     /// When the set of active routers last changed in this router's sight, if ever.
-    std::optional<TimePoint> changed;
+    std::optional<TimePoint> changedAt;
 };
 
 /// The sum of what routers admit never exceeds the limit times this factor, but for the least
 /// burst of each router, while routers disagree about the owner: two owners hand out one limit
 /// each.
-inline constexpr double limitFactor = 2.0;
+inline constexpr double maxOvershootFactor = 2.0;
 
 /// What a router wants of a workspace's limit and what it holds.
 struct LimitUse
@@ -91,38 +91,38 @@
 struct LocalLimit
 {
     double tokens = 0;
-    std::optional<TimePoint> filled;
+    std::optional<TimePoint> refilledAt;
     std::optional<LimitShare> share;
-    TimePoint shareLapses;
+    TimePoint shareExpiresAt;
     std::uint32_t inFlight = 0;
     /// Since the last report.
-    std::uint32_t arrived = 0;
+    std::uint32_t arrivals = 0;
     std::uint32_t refusedInFlight = 0;
     double rateWanted = 0;
     /// The rate held as of the last report, which the owner counts until the next one.
     double rateReported = 0;
-    std::optional<TimePoint> reported;
-    std::uint32_t reportedIn = 0;
-    TimePoint used;
+    std::optional<TimePoint> reportedAt;
+    std::uint32_t reportSequence = 0;
+    TimePoint lastUsed;
 };
 
 /// What an owner knows of one router's part.
-struct OwnedPart
+struct GrantedShare
 {
     LimitUse use;
-    double rateOut = 0;
-    std::uint32_t inFlightOut = 0;
+    double grantedRate = 0;
+    std::uint32_t grantedInFlight = 0;
     std::uint32_t sequence = 0;
-    TimePoint lapses;
+    TimePoint expiresAt;
 };
 
 /// A workspace at its owner.
 struct OwnedLimit
 {
-    std::map<std::uint64_t, OwnedPart> parts;
+    std::map<std::uint64_t, GrantedShare> shares;
     /// When this router first heard as the owner.
-    std::optional<TimePoint> since;
-    TimePoint heard;
+    std::optional<TimePoint> ownerSince;
+    TimePoint lastReportAt;
 };
 
 /// Why a request is not admitted, and when one is.
@@ -134,12 +134,13 @@
 
 /// \returns the rate that the router may admit now: its share, or its even part of the reserve
 /// when it has none or the share has lapsed.
-[[nodiscard]] double rateOf(const LocalLimit &local, const WorkspaceLimit &limit,
-                            const FleetSize &fleet, const ShareSettings &settings, TimePoint now);
+[[nodiscard]] double allowedRate(const LocalLimit &local, const WorkspaceLimit &limit,
+                                 const FleetSize &fleet, const ShareSettings &settings,
+                                 TimePoint now);
 /// \returns the requests that the router may have in flight now; at least one.
-[[nodiscard]] std::uint32_t inFlightOf(const LocalLimit &local, const WorkspaceLimit &limit,
-                                       const FleetSize &fleet, const ShareSettings &settings,
-                                       TimePoint now);
+[[nodiscard]] std::uint32_t allowedInFlight(const LocalLimit &local, const WorkspaceLimit &limit,
+                                            const FleetSize &fleet, const ShareSettings &settings,
+                                            TimePoint now);
 
 /// Admits one request against the router's part of the limit.
 /// \returns nothing when it is admitted, else why not.
@@ -147,20 +148,20 @@
                                              const FleetSize &fleet, const ShareSettings &settings,
                                              TimePoint now);
 /// Takes the end of an admitted request into account.
-void endWithinLimit(LocalLimit &local) noexcept;
+void releaseWithinLimit(LocalLimit &local) noexcept;
 
 /// \returns the router's report of \a workspace when one is due: when its part is short, when it
 /// no longer needs a part that others may want, and to renew the share in time. A router that
 /// gets along with its part of the reserve sends nothing.
-std::optional<LimitUse> dueUse(LocalLimit &local, WorkspaceId workspace, std::uint32_t sequence,
-                               const WorkspaceLimit &limit, const FleetSize &fleet,
-                               const ShareSettings &settings, TimePoint now);
+std::optional<LimitUse> dueReport(LocalLimit &local, WorkspaceId workspace, std::uint32_t sequence,
+                                  const WorkspaceLimit &limit, const FleetSize &fleet,
+                                  const ShareSettings &settings, TimePoint now);
 /// Takes a share that answers the report \a sequence.
 /// A delayed answer to an earlier report is dropped: the owner counts only what it granted last,
 /// so an older and larger share would come on top of the limit.
 /// \returns whether it was taken.
-bool takeShare(LocalLimit &local, const LimitShare &share, std::uint32_t sequence,
-               const ShareSettings &settings, TimePoint now);
+bool applyShare(LocalLimit &local, const LimitShare &share, std::uint32_t sequence,
+                const ShareSettings &settings, TimePoint now);
 
 /// Takes one router's report and decides its share.
 /// What others hold, or may still hold because an answer was lost, is never handed out twice:
@@ -171,25 +172,25 @@
 /// unknown can be held.
 /// \param router identity hash of the reporting router
 /// \returns the share, or nothing when the report is older than one already taken.
-std::optional<LimitShare> divideLimit(OwnedLimit &owned, const WorkspaceLimit &limit,
-                                      std::uint64_t router, const LimitUse &use,
-                                      std::uint32_t sequence, const FleetSize &fleet,
-                                      const ShareSettings &settings, TimePoint now);
+std::optional<LimitShare> allocateShare(OwnedLimit &owned, const WorkspaceLimit &limit,
+                                        std::uint64_t router, const LimitUse &use,
+                                        std::uint32_t sequence, const FleetSize &fleet,
+                                        const ShareSettings &settings, TimePoint now);
 
 /// How long a smaller number of routers must last before the known number follows it.
-inline constexpr Duration knownRoutersMemory = std::chrono::minutes{10};
+inline constexpr Duration knownRoutersRetention = std::chrono::minutes{10};
 
 /// The number of routers that were lately active.
 struct KnownRouters
 {
     std::size_t count = 1;
-    TimePoint seen;
+    TimePoint lastSeen;
 };
 
 /// Takes the number of routers active at \a now into account.
 /// In a partition each part elects an owner of its own. Were a limit divided by the routers in
 /// sight, each part would admit the whole limit. Remembering the larger number scales each
 /// part's limit down to its part of the fleet for as long as partitions usually last.
-void countRouters(KnownRouters &known, std::size_t active, TimePoint now) noexcept;
+void updateKnownRouters(KnownRouters &known, std::size_t active, TimePoint now) noexcept;
 
 } // namespace plantainswitch
--- a/include/plantainswitch/limits/table.h
+++ b/include/plantainswitch/limits/table.h
@@ -34,17 +34,17 @@
     std::optional<LimitRefusal> admit(WorkspaceId workspace, const WorkspaceLimit &limit,
                                       const FleetSize &fleet, TimePoint now);
     /// Takes the end of an admitted request into account.
-    void end(WorkspaceId workspace);
+    void release(WorkspaceId workspace);
 
     /// \returns what is due to be reported to the owners, under the number \a sequence.
-    std::vector<LimitUse> due(std::uint32_t sequence, const LimitLookup &limitOf,
-                              const FleetSize &fleet, TimePoint now);
+    std::vector<LimitUse> dueReports(std::uint32_t sequence, const LimitLookup &limitOf,
+                                     const FleetSize &fleet, TimePoint now);
     /// Takes the answer of an owner.
-    void take(const LimitShares &shares, TimePoint now);
+    void applyShares(const LimitShares &shares, TimePoint now);
     /// Divides as the owner.
-    [[nodiscard]] LimitShares divide(std::uint64_t router, const LimitReport &report,
-                                     const LimitLookup &limitOf, const FleetSize &fleet,
-                                     TimePoint now);
+    [[nodiscard]] LimitShares allocateShares(std::uint64_t router, const LimitReport &report,
+                                             const LimitLookup &limitOf, const FleetSize &fleet,
+                                             TimePoint now);
     /// Forgets workspaces that were not used for long.
     void forgetIdle(TimePoint now);
 
--- a/include/plantainswitch/membership/freshness.h
+++ b/include/plantainswitch/membership/freshness.h
@@ -16,12 +16,12 @@
     /// The confirmer's watches are held no longer than this.
     Milliseconds confirmInterval{1500};
     /// The same for all others; a watch is a priced call.
-    Milliseconds maxWait{30'000};
+    Milliseconds maxWatchWait{30'000};
     /// Pause after a change before the next watch: changes often come in rows, such as when
     /// upstreams are replaced one after the other.
-    Milliseconds gatherPause{250};
+    Milliseconds coalesceDelay{250};
     /// The same for a standby, whose data centre has another watcher.
-    Milliseconds standbyPause{500};
+    Milliseconds standbyCoalesceDelay{500};
 };
 
 /// \returns the policy by which every router knows of a change within \a bound after the platform
@@ -29,11 +29,11 @@
 [[nodiscard]] FreshnessPolicy freshnessWithin(Milliseconds bound) noexcept;
 
 /// Estimates how long the platform takes to answer, as TCP does for its retransmission time-out.
-class AnswerTimeout
+class AdaptiveTimeout
 {
 public:
     /// Notes that an answer took \a took beyond the time for which it was to be held.
-    void recordAnswer(Duration took) noexcept;
+    void recordResponse(Duration took) noexcept;
     /// Notes that no answer came in time.
     void recordTimeout() noexcept { ++this->timeouts; }
     /// \returns the time within which the next answer must begin. Grows after each time-out and
@@ -47,7 +47,7 @@
 
 /// \returns the pause before the next call after \a failures in a row. Routers that lost the
 /// platform together, separated by \a seed, do not ask in step.
-[[nodiscard]] Milliseconds retryPause(std::uint32_t failures, std::uint64_t seed) noexcept;
+[[nodiscard]] Milliseconds retryBackoff(std::uint32_t failures, std::uint64_t seed) noexcept;
 
 /// \returns whether a router whose watch has shown a change \a sinceChange ago watches again.
 /// \param isStandby whether another router watches for the same data centre
@@ -59,24 +59,24 @@
 [[nodiscard]] Milliseconds watchWait(const FreshnessPolicy &policy, bool isConfirmer) noexcept;
 
 /// What decides whether a router gives its waiting watch up.
-struct FreshnessSituation
+struct ConfirmationState
 {
     /// Since the platform confirmed what this router knows, to itself or to another router.
     Duration sinceConfirmed{0};
     /// Routers that come before this one as confirmers.
     std::size_t rank = 0;
-    Milliseconds answerTimeout{0};
+    Milliseconds responseTimeout{0};
     /// How long the platform may hold the waiting watch.
-    Milliseconds held{0};
+    Milliseconds currentWatchWait{0};
 };
 
 /// \returns whether the confirmer replaces a long watch by a short one.
 [[nodiscard]] bool isConfirmationDue(const FreshnessPolicy &policy,
-                                     const FreshnessSituation &situation) noexcept;
+                                     const ConfirmationState &situation) noexcept;
 
 /// \returns whether the confirmer's answer is overdue. Routers find so one after the other, so that
 /// the first to get an answer spares the rest their calls.
-[[nodiscard]] bool isUnconfirmed(const FreshnessPolicy &policy,
-                                 const FreshnessSituation &situation) noexcept;
+[[nodiscard]] bool isConfirmationOverdue(const FreshnessPolicy &policy,
+                                         const ConfirmationState &situation) noexcept;
 
 } // namespace plantainswitch
--- a/include/plantainswitch/membership/heartbeat.h
+++ b/include/plantainswitch/membership/heartbeat.h
@@ -15,11 +15,11 @@
 struct Heartbeat
 {
     std::string id;
-    std::string place;
+    std::string dataCentre;
     /// UDP address of the peer link.
-    Endpoint datagrams;
+    Endpoint datagramEndpoint;
     /// gRPC address of the peer link.
-    Endpoint calls;
+    Endpoint rpcEndpoint;
     /// Start time of the process; a restarted router is another member under the same id.
     std::uint64_t incarnation = 0;
     /// Version up to which the router knows the whole catalogue.
@@ -28,11 +28,11 @@
     /// Rises when the router contradicts a suspicion or changes what it says of itself.
     std::uint32_t refutation = 0;
     /// Milliseconds since the platform confirmed the catalogue, maybe through other routers.
-    std::uint32_t catalogueAge = neverConfirmed;
+    std::uint32_t catalogueAgeMilliseconds = neverConfirmed;
     /// Stamp of the router's list of VMs.
-    std::uint64_t vmStamp = 0;
+    std::uint64_t vmListVersion = 0;
     /// Digest of that list.
-    std::uint32_t vmDigest = 0;
+    std::uint32_t vmListDigest = 0;
 };
 
 } // namespace plantainswitch
--- a/include/plantainswitch/membership/members.h
+++ b/include/plantainswitch/membership/members.h
@@ -21,7 +21,7 @@
 {
 public:
     /// Sets what this router says of itself and the seed of its random choices.
-    void begin(const Heartbeat &own, std::uint64_t seed);
+    void initialize(const Heartbeat &own, std::uint64_t seed);
     /// One step of swimTick().
     [[nodiscard]] SwimOutput tick(const Heartbeat &own, const std::set<Endpoint> &seeds,
                                   TimePoint now);
@@ -29,12 +29,12 @@
     [[nodiscard]] SwimOutput receive(const SwimMessage &message, const Endpoint &from,
                                      TimePoint now);
     /// One step of swimTellFew().
-    [[nodiscard]] SwimOutput tellFew(const Heartbeat &own);
+    [[nodiscard]] SwimOutput gossipSelf(const Heartbeat &own);
     /// One step of swimAnnounce().
     [[nodiscard]] SwimOutput announce(const Heartbeat &own, bool gone);
     /// Takes a heartbeat as heard from its sender; an older incarnation is ignored.
     /// \returns whether the member is new or has restarted.
-    bool hear(const Heartbeat &heartbeat, TimePoint now);
+    bool receiveHeartbeat(const Heartbeat &heartbeat, TimePoint now);
 
     /// \returns all live members that are not leaving, by id, this router included; never null.
     /// It is made anew only when a member joins, restarts, leaves, is gone or has other addresses.
@@ -45,8 +45,8 @@
     [[nodiscard]] std::optional<Heartbeat> find(const std::string &id) const;
 
 private:
-    void describe(const Heartbeat &own);
-    void dropSnapshotUnlessHolds(const std::string &id);
+    void setSelf(const Heartbeat &own);
+    void invalidateSnapshotIfChanged(const std::string &id);
 
     mutable RankedMutex mutex{LockRank::Members};
     SwimSettings settings;
--- a/include/plantainswitch/membership/swim.h
+++ b/include/plantainswitch/membership/swim.h
@@ -26,7 +26,7 @@
 
 /// Kinds of membership messages. Gossip brings news that is passed on, State an answer to a
 /// newcomer that is not.
-enum class SwimKind : std::uint8_t { Ping, Ack, PingRequest, Gossip, State };
+enum class SwimKind : std::uint8_t { Ping, Ack, PingRequest, Gossip, JoinReply };
 
 /// A membership message; every one carries its sender's heartbeat and a few rumours.
 struct SwimMessage
@@ -36,7 +36,7 @@
     std::uint32_t probe = 0;
     /// Set in a Ping of a router that knows no members yet; it is answered by State messages.
     bool join = false;
-    Heartbeat from;
+    Heartbeat sender;
     /// Whom to ping, in a PingRequest.
     Endpoint target;
     std::vector<MemberUpdate> updates;
@@ -46,31 +46,31 @@
 struct SwimSettings
 {
     /// Between two probes that one router sends.
-    Duration period = Milliseconds{500};
+    Duration probePeriod = Milliseconds{500};
     /// Wait for an Ack before others are asked to probe too.
-    Duration directTimeout = Milliseconds{200};
+    Duration ackTimeout = Milliseconds{200};
     /// Time a suspect has to contradict before it counts as gone.
-    Duration suspicion = Milliseconds{2000};
+    Duration suspicionTimeout = Milliseconds{2000};
     /// Time for which a gone member is remembered, so that late rumours don't bring it back.
-    Duration remembered = Seconds{60};
+    Duration goneRetention = Seconds{60};
     /// A router whose own timer was this late was paused and may not judge others by it.
-    Duration pauseLimit = Milliseconds{1000};
+    Duration maxTickDelay = Milliseconds{1000};
     std::size_t indirectProbes = 3;
     /// Members of the own place that hear of urgent news at once.
-    std::size_t fanout = 3;
+    std::size_t localFanout = 3;
     /// Members of other places that hear of urgent news at once from a watcher.
-    std::size_t crossFanout = 3;
-    std::size_t updatesInMessage = 8;
+    std::size_t remoteFanout = 3;
+    std::size_t maxUpdatesPerMessage = 8;
     /// A rumour is sent this often, times the binary logarithm of the number of members.
-    std::size_t rumourFactor = 3;
+    std::size_t retransmitFactor = 3;
     /// Periods between two pings to a listed router that is not a member.
-    std::uint64_t seedPeriods = 4;
+    std::uint64_t seedPingInterval = 4;
 };
 
 /// A router as this router sees it.
 struct Member
 {
-    Heartbeat last;
+    Heartbeat heartbeat;
     MemberState state = MemberState::Alive;
     /// When it got into its state.
     TimePoint since;
@@ -103,20 +103,20 @@
     struct Probe
     {
         std::string target;
-        TimePoint indirectAt;
-        TimePoint until;
-        bool indirect = false;
+        TimePoint ackDeadline;
+        TimePoint deadline;
+        bool isIndirect = false;
     };
     struct Relay
     {
         std::uint32_t probe = 0;
-        Endpoint asker;
-        TimePoint until;
+        Endpoint requester;
+        TimePoint deadline;
     };
     struct Rumour
     {
         MemberUpdate update;
-        std::size_t left = 0;
+        std::size_t remainingSends = 0;
     };
 
     Heartbeat own;
@@ -125,20 +125,20 @@
     std::map<std::uint32_t, Relay> relays;
     std::map<std::string, Rumour> rumours;
     /// Members that this router suspects by its own probes.
-    std::set<std::string> accused;
-    std::vector<std::string> order;
-    std::vector<std::string> crossOrder;
+    std::set<std::string> locallySuspected;
+    std::vector<std::string> localProbeOrder;
+    std::vector<std::string> remoteProbeOrder;
     /// Whether any member is suspect or gone, so that a quiet tick walks no list.
-    bool unsettled = false;
-    std::uint32_t nextProbe = 1;
-    std::uint64_t periods = 0;
-    TimePoint probeAt;
+    bool hasSuspectOrGone = false;
+    std::uint32_t nextProbeNumber = 1;
+    std::uint64_t periodCount = 0;
+    TimePoint nextProbeAt;
     TimePoint lastTick;
     std::mt19937_64 random;
 };
 
 /// Sets what this router says of itself; a change of `leaving` contradicts what was said before.
-void describeSelf(SwimState &state, const Heartbeat &own);
+void swimUpdateSelf(SwimState &state, const Heartbeat &own);
 
 /// Lets time pass; call it several times a period.
 /// \param seeds addresses of routers that should be members, from settings and the VM list
@@ -151,7 +151,7 @@
                                      TimePoint now);
 
 /// Tells a few members of the own place of the own heartbeat, such as of a new version.
-[[nodiscard]] SwimOutput swimTellFew(SwimState &state, const SwimSettings &settings);
+[[nodiscard]] SwimOutput swimGossipSelf(SwimState &state, const SwimSettings &settings);
 
 /// Tells every member of the own place, and some of others, at once of the own heartbeat.
 /// \param gone whether the router is about to end, so that nobody has to suspect it first
--- a/include/plantainswitch/membership/vm.h
+++ b/include/plantainswitch/membership/vm.h
@@ -32,12 +32,12 @@
     VmRole role = VmRole::Engine;
     /// Service whose upstream it is; empty for routers.
     std::string service;
-    std::string place;
+    std::string dataCentre;
     /// For routers the peer link, for upstreams their HTTP address.
     Endpoint endpoint;
     bool leaving = false;
     /// Start stamp where the platform gives one; 0: none. A higher one is a new life of the VM.
-    std::uint64_t started = 0;
+    std::uint64_t startStamp = 0;
     auto operator<=>(const Vm &) const = default;
 };
 
--- a/include/plantainswitch/observe/explain.h
+++ b/include/plantainswitch/observe/explain.h
@@ -18,18 +18,18 @@
 };
 
 /// Number of requests whose explanation is kept.
-inline constexpr std::size_t keptExplanations = 4096;
+inline constexpr std::size_t maxExplanations = 4096;
 
 /// The explanations of the latest requests, bounded in number.
 class ExplainTable
 {
 public:
-    void keep(Explanation explanation);
+    void record(Explanation explanation);
     [[nodiscard]] std::optional<Explanation> find(const std::string &requestId) const;
 
 private:
     mutable RankedMutex mutex{LockRank::Explain};
-    std::unordered_map<std::string, Explanation> kept;
+    std::unordered_map<std::string, Explanation> explanations;
     std::deque<std::string> order;
 };
 
--- a/include/plantainswitch/observe/linebuffer.h
+++ b/include/plantainswitch/observe/linebuffer.h
@@ -13,10 +13,10 @@
 struct LineBufferLimits
 {
     /// Bytes above which lines below warnings are dropped.
-    std::size_t ordinaryBytes = 192 << 10;
+    std::size_t maxOrdinaryBytes = 192 << 10;
     /// Bytes above which all lines are dropped. A reader of standard output that stands still
     /// must cost neither memory nor a request.
-    std::size_t allBytes = 256 << 10;
+    std::size_t maxBytes = 256 << 10;
 };
 
 /// Log lines on their way to standard output, bounded: ordinary ones are dropped first.
@@ -32,7 +32,7 @@
     /// \returns the bytes to be written next.
     [[nodiscard]] std::string_view pending() const noexcept;
     /// Forgets \a bytes that were written.
-    void written(std::size_t bytes);
+    void consume(std::size_t bytes);
     /// \returns the lines dropped since this was last asked.
     [[nodiscard]] std::uint64_t takeDropped() noexcept;
 
--- a/include/plantainswitch/observe/metrics.h
+++ b/include/plantainswitch/observe/metrics.h
@@ -66,7 +66,7 @@
 /// five minutes that scrapers look back.
 inline constexpr std::chrono::minutes idleSeriesAge{10};
 /// Most workspaces of each timing on the page; about 1.3 MB.
-inline constexpr std::size_t mostWorkspacesOnPage = 500;
+inline constexpr std::size_t maxWorkspacesOnPage = 500;
 
 /// Counters and Boost.Histogram histograms of one router, safe to use from all workers.
 class Metrics
--- a/include/plantainswitch/observe/pausedetector.h
+++ b/include/plantainswitch/observe/pausedetector.h
@@ -16,19 +16,19 @@
 };
 
 /// Pauses shorter than this are the usual lateness of a small VM's timers.
-inline constexpr Milliseconds leastPause{500};
+inline constexpr Milliseconds minPause{500};
 
 /// Finds pauses by a regular turn that should come at a known time.
-class PauseWatch
+class PauseDetector
 {
 public:
     /// Takes a turn. \returns the pause before it, if there was one worth telling.
     /// \param uptime time since the VM started, which runs on while it is frozen
     /// \param due when the next turn is to come
-    std::optional<Pause> turn(TimePoint now, Duration uptime, TimePoint due);
+    std::optional<Pause> tick(TimePoint now, Duration uptime, TimePoint due);
 
 private:
-    bool hasTurned = false;
+    bool hasTicked = false;
     TimePoint lastNow;
     Duration lastUptime{0};
     TimePoint expected;
--- a/include/plantainswitch/observe/timeline.h
+++ b/include/plantainswitch/observe/timeline.h
@@ -29,35 +29,35 @@
 [[nodiscard]] std::optional<LogLine> readLogLine(std::string_view line);
 
 /// What the routers did with one request, and what they believed then.
-struct RequestStory
+struct RequestTimeline
 {
     /// Lines that name the request, in order of time.
     std::vector<LogLine> steps;
     /// For each of its routers: the last word before it of the configuration, the store, and each
     /// upstream that it was sent to.
-    std::vector<LogLine> beliefs;
+    std::vector<LogLine> knownState;
 };
 
 /// Collects the story of one request from the lines of many routers' logs, taken in any order.
-class StoryCollector
+class TimelineCollector
 {
 public:
-    explicit StoryCollector(std::string request)
+    explicit TimelineCollector(std::string request)
         : request(std::move(request))
     {}
 
-    void take(LogLine line);
-    [[nodiscard]] RequestStory story() const;
+    void add(LogLine line);
+    [[nodiscard]] RequestTimeline timeline() const;
 
 private:
     std::string request;
     std::vector<LogLine> steps;
     /// Lines that change what a router believes.
-    std::vector<LogLine> changes;
+    std::vector<LogLine> stateChanges;
 };
 
 /// \returns the story as text for a person, one line a step: the time since the first one, the
 /// router and what happened; then how old each belief was, and where to look next.
-[[nodiscard]] std::string tell(const RequestStory &story);
+[[nodiscard]] std::string formatTimeline(const RequestTimeline &story);
 
 } // namespace plantainswitch
--- a/include/plantainswitch/orders/lease.h
+++ b/include/plantainswitch/orders/lease.h
@@ -12,11 +12,11 @@
 struct LeaseSettings
 {
     /// A lease whose version has not changed for this long, as its observer saw it, is free.
-    Duration lease = Seconds{10};
-    Duration renewal = Seconds{3};
+    Duration leaseDuration = Seconds{10};
+    Duration renewInterval = Seconds{3};
     /// Longest pause of a process that engines without a check are guarded against. A new holder
     /// sends them nothing before this time has passed since it took the lease.
-    Duration longestPause = Seconds{30};
+    Duration maxProcessPause = Seconds{30};
 };
 
 /// The lease object as read at the platform.
@@ -29,18 +29,18 @@
 
 /// One router's view of one lease. No clock of another machine plays a part: who wants the lease
 /// measures on its own clock for how long the object's version stood still.
-struct LeaseWatch
+struct LeaseState
 {
-    std::optional<LeaseObject> seen;
-    TimePoint seenSince;
+    std::optional<LeaseObject> observed;
+    TimePoint observedSince;
     /// Set while this router believes that it holds the lease.
     std::optional<std::uint64_t> heldVersion;
     TimePoint heldUntil;
-    TimePoint taken;
-    TimePoint renewed;
+    TimePoint acquiredAt;
+    TimePoint renewedAt;
 };
 
-enum class LeaseAction : std::uint8_t { None, Take, Renew };
+enum class LeaseAction : std::uint8_t { None, Acquire, Renew };
 
 /// What to write to the lease object, under the condition that its version is \a ifVersion.
 struct LeaseDecision
@@ -51,20 +51,21 @@
 };
 
 /// Takes a reading of the lease object into account; nothing when there is none.
-void observeLease(LeaseWatch &watch, const std::optional<LeaseObject> &object,
+void observeLease(LeaseState &watch, const std::optional<LeaseObject> &object,
                   const std::string &self, TimePoint now);
 /// \returns what this router has to write now.
-[[nodiscard]] LeaseDecision decideLease(const LeaseWatch &watch, const std::string &self,
+[[nodiscard]] LeaseDecision decideLease(const LeaseState &watch, const std::string &self,
                                         const LeaseSettings &settings, TimePoint now);
 /// Takes a write that the platform confirmed into account.
 /// \param sentAt when it was sent: the lease counts from there, as others may have seen it then
-void leaseWritten(LeaseWatch &watch, const std::string &self, std::uint64_t version,
-                  const LeaseSettings &settings, TimePoint sentAt);
+void recordLeaseWrite(LeaseState &watch, const std::string &self, std::uint64_t version,
+                      const LeaseSettings &settings, TimePoint sentAt);
 
 /// \returns the fencing number under which this router may send an order now; nothing when it
 /// holds no lease, or when engines don't check and a predecessor may still be sending.
-[[nodiscard]] std::optional<std::uint64_t> fencingNumber(const LeaseWatch &watch, bool enginesCheck,
-                                                         const LeaseSettings &settings,
-                                                         TimePoint now);
+[[nodiscard]] std::optional<std::uint64_t> currentFencingToken(const LeaseState &watch,
+                                                               bool enginesCheck,
+                                                               const LeaseSettings &settings,
+                                                               TimePoint now);
 
 } // namespace plantainswitch
--- a/include/plantainswitch/orders/plan.h
+++ b/include/plantainswitch/orders/plan.h
@@ -10,27 +10,27 @@
 namespace plantainswitch {
 
 /// An engine as its own answer showed it.
-struct EngineReading
+struct EngineStatus
 {
     Vm vm;
     /// Whether the engine answered.
-    bool read = false;
+    bool isReachable = false;
     /// Whether it is carrying out an order and serves nothing meanwhile.
-    bool loading = false;
+    bool isLoading = false;
     EngineSetup setup;
     /// Highest fencing number it has seen; 0 when it keeps none.
-    std::uint64_t fencing = 0;
+    std::uint64_t fencingToken = 0;
 };
 
 /// \returns whether the parts of \a setup that \a wanted names are as wanted.
-[[nodiscard]] bool isInState(const EngineSetup &setup, const EngineSetup &wanted);
+[[nodiscard]] bool matchesSetup(const EngineSetup &setup, const EngineSetup &wanted);
 
 /// Chooses the engines that get the order to take the wanted state on now. An order names the
 /// state, never a step, so that repeating it is harmless. Loads are staggered: they share the
 /// rate-limited weight store, and an engine that loads serves nothing.
 /// \param engines of one service in one place, read just now
 /// \returns the indexes of the engines to order, maybe none
-[[nodiscard]] std::vector<std::size_t> planOrders(const std::vector<EngineReading> &engines,
+[[nodiscard]] std::vector<std::size_t> planOrders(const std::vector<EngineStatus> &engines,
                                                   const EngineOrders &wanted);
 
 } // namespace plantainswitch
--- a/include/plantainswitch/placement/messages.h
+++ b/include/plantainswitch/placement/messages.h
@@ -16,7 +16,7 @@
 struct Shard
 {
     std::string service;
-    std::string place;
+    std::string dataCentre;
     std::uint32_t number = 0;
 };
 
@@ -24,10 +24,10 @@
 [[nodiscard]] ShardId shardIdOf(const Shard &shard) noexcept;
 
 /// A router asks a shard's keeper for an upstream. Repeating it with the same id is harmless.
-struct SlotAsk
+struct SlotRequest
 {
     /// Unique within the asking router's incarnation.
-    std::uint32_t askId = 0;
+    std::uint32_t requestId = 0;
     Shard shard;
     /// Hash of workspace and chat.
     std::uint64_t chat = 0;
@@ -60,7 +60,7 @@
 
 struct SlotReply
 {
-    std::uint32_t askId = 0;
+    std::uint32_t requestId = 0;
     SlotVerdict verdict = SlotVerdict::Empty;
     UpstreamId upstream = 0;
     /// With Busy: when to come back.
@@ -71,7 +71,7 @@
 struct SlotRelease
 {
     ShardId shard = 0;
-    std::vector<std::uint32_t> askIds;
+    std::vector<std::uint32_t> requestIds;
 };
 
 /// A router's regular word to a shard's keeper on the slots it holds there.
@@ -84,11 +84,11 @@
     std::uint32_t below = 0;
     std::uint32_t count = 0;
     /// All ids mixed and combined by exclusive or.
-    std::uint64_t mix = 0;
+    std::uint64_t hash = 0;
 };
 
 /// The keeper's answer to a digest that differs from what it knows.
-struct SlotListAsk
+struct SlotListRequest
 {
     ShardId shard = 0;
 };
@@ -96,7 +96,7 @@
 /// A slot as its holder knows it.
 struct ListedSlot
 {
-    std::uint32_t askId = 0;
+    std::uint32_t requestId = 0;
     UpstreamId upstream = 0;
 };
 
--- a/include/plantainswitch/placement/plan.h
+++ b/include/plantainswitch/placement/plan.h
@@ -23,8 +23,9 @@
 [[nodiscard]] std::uint32_t shardNumberOf(UpstreamId upstream, std::uint32_t shards) noexcept;
 
 /// \returns the ready upstreams of \a shard.
-[[nodiscard]] std::vector<UpstreamId> readyOf(const UpstreamTable &upstreams, const Shard &shard,
-                                              std::uint32_t shards, TimePoint now);
+[[nodiscard]] std::vector<UpstreamId> readyUpstreamsOf(const UpstreamTable &upstreams,
+                                                       const Shard &shard, std::uint32_t shards,
+                                                       TimePoint now);
 
 /// Lists the shards that may serve a request: only in permitted places, only with ready engines.
 /// Rendezvous over the shards, weighted by their engines, keeps a chat at its shard while
@@ -32,23 +33,23 @@
 /// \param admission with the permitted places
 /// \param chat hash of workspace and chat
 /// \param reason receives why there is none
-[[nodiscard]] std::optional<PlacementPlan> planPlacement(const Admission &admission,
+[[nodiscard]] std::optional<PlacementPlan> planPlacement(const Authorization &admission,
                                                          std::uint64_t chat,
                                                          const UpstreamTable &upstreams,
                                                          TimePoint now, Reason &reason);
 
 /// Moves shards in places without a live router to the end, in both parts keeping the order:
 /// a data centre that is cut off goes on with its own engines and doesn't wait for others first.
-void preferLivePlaces(PlacementPlan &plan, const std::vector<Heartbeat> &active);
+void preferLiveDataCentres(PlacementPlan &plan, const std::vector<Heartbeat> &active);
 
 /// \returns the routers that may keep \a shard, the keeper first, then who stands in when it is
 /// silent.
-[[nodiscard]] std::vector<Heartbeat> keepersOf(const Shard &shard,
-                                               const std::vector<Heartbeat> &active);
+[[nodiscard]] std::vector<Heartbeat> coordinatorsOf(const Shard &shard,
+                                                    const std::vector<Heartbeat> &active);
 
 /// \returns the router that keeps \a shard: by rendezvous over the active routers of its place,
 /// or over all when the place has none.
-[[nodiscard]] std::optional<Heartbeat> keeperOf(const Shard &shard,
-                                                const std::vector<Heartbeat> &active);
+[[nodiscard]] std::optional<Heartbeat> coordinatorOf(const Shard &shard,
+                                                     const std::vector<Heartbeat> &active);
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/admission.h
+++ b/include/plantainswitch/routing/admission.h
@@ -13,15 +13,15 @@
     /// Expected time to the first token at the upstream that was selected.
     Milliseconds expectedDelay{0};
     /// Time that is left until the caller leaves if no first token has come.
-    Milliseconds patience{0};
+    Milliseconds remainingTimeout{0};
     /// Time to the first token that the caller counts as prompt; 0: not stated.
     Milliseconds objective{0};
     /// 0 is the most urgent.
-    std::uint32_t rank = 0;
+    std::uint32_t priority = 0;
     /// Requests running on the service's upstreams, as a share of their slots.
     double occupancy = 0.0;
     /// Spreads the callers that are to return.
-    std::uint64_t hash = 0;
+    std::uint64_t jitterSeed = 0;
 };
 
 /// Whether requests are admitted under overload.
@@ -34,7 +34,7 @@
     /// Expected delay up to which a request is admitted, in objectives: of the most urgent rank and
     /// of each further one, as a share of the one before.
     double maxObjectives = 2.0;
-    double rankShare = 0.75;
+    double priorityDecay = 0.75;
     /// The least of maxObjectives for any rank.
     double minObjectives = 1.0;
 };
@@ -49,7 +49,7 @@
 };
 [[nodiscard]] std::string_view nameOf(AdmissionVerdict verdict) noexcept;
 
-struct Admittance
+struct AdmissionDecision
 {
     AdmissionVerdict verdict = AdmissionVerdict::Admitted;
     /// When room is expected, if the request was rejected.
@@ -59,6 +59,7 @@
 /// Decides whether a request is dispatched. Under overload a queue that is longer than callers
 /// wait makes all of them late; rejecting those that would be late keeps the queue short, the
 /// least urgent ranks first.
-[[nodiscard]] Admittance admit(const AdmissionRequest &request, const AdmissionPolicy &policy);
+[[nodiscard]] AdmissionDecision admit(const AdmissionRequest &request,
+                                      const AdmissionPolicy &policy);
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/eventstream.h
+++ b/include/plantainswitch/routing/eventstream.h
@@ -8,7 +8,7 @@
 namespace plantainswitch {
 
 /// Longest event that is relayed; a longer one is garbage.
-inline constexpr std::size_t longestStreamEvent = 1 << 20;
+inline constexpr std::size_t maxStreamEventBytes = 1 << 20;
 
 /// Lets only whole server-sent events through, byte for byte, and knows the last one's id. A
 /// stream that breaks within an event can then go on elsewhere after the last whole one.
@@ -22,7 +22,7 @@
     /// \returns the id of the last whole event, if it had one.
     [[nodiscard]] std::optional<std::uint64_t> lastId() const noexcept { return this->last; }
     /// \returns whole events let through.
-    [[nodiscard]] std::uint64_t events() const noexcept { return this->count; }
+    [[nodiscard]] std::uint64_t eventCount() const noexcept { return this->count; }
     /// \returns whether a part of an event is held back.
     [[nodiscard]] bool hasPartial() const noexcept { return !this->partial.empty(); }
     /// Forgets the part of an event held back, before the stream goes on from another upstream.
@@ -33,7 +33,7 @@
     }
 
 private:
-    bool takeEvent(std::string_view event);
+    bool recordEvent(std::string_view event);
 
     std::string partial;
     /// Bytes of the partial event that hold no event end.
--- a/include/plantainswitch/routing/fleetretrybudget.h
+++ b/include/plantainswitch/routing/fleetretrybudget.h
@@ -18,30 +18,31 @@
     Seconds window{10};
     /// Part of the limit that is used; the rest is for what other routers count differently when
     /// members come and go.
-    double usedPart = 0.7;
+    double usableShare = 0.7;
 };
 
 /// Repeats that one router may still send, by service. Each router earns by its own requests and
 /// holds its part of the margin, so that the sum holds without asking anybody.
-class FleetRetries
+class FleetRetryBudget
 {
 public:
-    explicit FleetRetries(FleetRetryLimit limit = {})
+    explicit FleetRetryBudget(FleetRetryLimit limit = {})
         : limit(limit)
     {}
 
     /// Earns a request's share at \a service.
-    void earn(const std::string &service, std::uint32_t routers, TimePoint now);
+    void deposit(const std::string &service, std::uint32_t routers, TimePoint now);
     /// Takes one repeat. \returns whether there was one.
-    [[nodiscard]] bool spend(const std::string &service, std::uint32_t routers, TimePoint now);
+    [[nodiscard]] bool tryWithdraw(const std::string &service, std::uint32_t routers,
+                                   TimePoint now);
     /// \returns what is left for \a service.
-    [[nodiscard]] double left(const std::string &service) const;
+    [[nodiscard]] double remaining(const std::string &service) const;
 
 private:
     struct Account
     {
         double tokens = 0.0;
-        TimePoint refilled;
+        TimePoint refilledAt;
     };
 
     Account &refill(const std::string &service, std::uint32_t routers, TimePoint now);
--- a/include/plantainswitch/routing/peerloads.h
+++ b/include/plantainswitch/routing/peerloads.h
@@ -15,20 +15,20 @@
 struct PeerLoad
 {
     /// The upstream's life.
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint32_t running = 0;
-    std::uint32_t unreadTokens = 0;
+    std::uint32_t pendingPrefillTokens = 0;
     /// How long the sender still keeps away from it; 0: it doesn't.
-    Milliseconds avoided{0};
+    Milliseconds ejectedFor{0};
     /// A request of the sender's was silent there since its last update.
-    bool silent = false;
+    bool timedOut = false;
 };
 
 /// A chain that a router had an upstream read.
 struct PrefixReport
 {
-    std::uint64_t chain = 0;
-    std::uint64_t life = 0;
+    std::uint64_t prefix = 0;
+    std::uint64_t incarnation = 0;
     /// How long ago.
     Milliseconds age{0};
 };
@@ -52,8 +52,8 @@
     std::uint64_t configVersion = 0;
     bool stopping = false;
     std::vector<PeerLoad> loads;
-    std::vector<PrefixReport> chains;
-    CrashUpdate suspects;
+    std::vector<PrefixReport> prefixes;
+    CrashUpdate crashUpdate;
 };
 
 /// Time without updates after which a near router counts as failed and what it had as ended:
@@ -64,20 +64,20 @@
 class PeerLoads
 {
 public:
-    struct Sum
+    struct Total
     {
         std::uint32_t running = 0;
-        double unread = 0.0;
+        double pendingPrefillTokens = 0.0;
     };
 
     /// Takes an update. \returns false when it is older than what is known.
-    bool take(const RouterUpdate &update);
+    bool applyUpdate(const RouterUpdate &update);
     /// Drops a router that is gone, with all that it had.
-    void forget(const std::string &id);
+    void removeRouter(const std::string &id);
     /// \returns what all other routers have at the upstream.
-    [[nodiscard]] Sum at(std::uint64_t life) const;
+    [[nodiscard]] Total totalAt(std::uint64_t life) const;
     /// \returns the number of other routers heard lately.
-    [[nodiscard]] std::size_t routers() const noexcept { return this->peers.size(); }
+    [[nodiscard]] std::size_t routerCount() const noexcept { return this->peers.size(); }
     /// \returns whether the router's process that started as \a incarnation was heard lately.
     [[nodiscard]] bool knows(const std::string &id, std::uint64_t incarnation) const;
 
@@ -92,7 +92,7 @@
     void add(const std::vector<PeerLoad> &loads, int sign);
 
     std::map<std::string, Peer> peers;
-    std::map<std::uint64_t, Sum> sums;
+    std::map<std::uint64_t, Total> totals;
 };
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/prompt.h
+++ b/include/plantainswitch/routing/prompt.h
@@ -31,10 +31,10 @@
 [[nodiscard]] std::uint32_t sharedTokensOf(const Prompt &prompt) noexcept;
 
 /// \returns one hash for each part, which names the chain up to and including that part.
-[[nodiscard]] std::vector<std::uint64_t> chainOf(const Prompt &prompt);
+[[nodiscard]] std::vector<std::uint64_t> prefixHashesOf(const Prompt &prompt);
 
 /// \returns the hash in \a chain of all parts that other prompts share; nothing when there is none.
 [[nodiscard]] std::optional<std::uint64_t>
-sharedChainOf(std::span<const std::uint64_t> chain) noexcept;
+sharedPrefixOf(std::span<const std::uint64_t> chain) noexcept;
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/reachability.h
+++ b/include/plantainswitch/routing/reachability.h
@@ -13,9 +13,9 @@
 
 /// Updates of another data centre's routers that must be missed before it counts as unresponsive.
 /// They come at their own times, so that this many in a row are hardly ever lost by chance.
-inline constexpr int missedForUnresponsive = 7;
-inline constexpr Milliseconds minUnresponsiveSpan{300};
-inline constexpr Milliseconds maxUnresponsiveSpan{1500};
+inline constexpr int missedUpdatesForUnresponsive = 7;
+inline constexpr Milliseconds minUnresponsiveTimeout{300};
+inline constexpr Milliseconds maxUnresponsiveTimeout{1500};
 /// Routers of this data centre whose updates must have come meanwhile: without them it is this
 /// router that stood still or lost its link.
 inline constexpr std::size_t minLocalUpdates = 2;
@@ -27,11 +27,11 @@
     /// clock's beginning: never.
     TimePoint lastReceived;
     /// Expected time between two updates of its routers.
-    Duration updateGap{0};
+    Duration updateInterval{0};
     /// Routers of this data centre that have sent an update since lastReceived.
     std::size_t localUpdates = 0;
     /// No connection to one of its upstreams came about lately.
-    bool hasFailed = false;
+    bool hasConnectFailures = false;
 };
 
 /// \returns what is known of the path to a data centre.
@@ -44,21 +44,22 @@
                                             TimePoint now);
 
 /// Whether work can be sent to another data centre.
-enum class DataCentreReach : std::uint8_t {
+enum class DataCentreReachability : std::uint8_t {
     Reachable,
     /// Nothing comes from there, and no connection has been tried since.
     Unresponsive,
     /// Nothing comes from there, and connections fail.
-    CutOff,
+    Unreachable,
 };
-[[nodiscard]] std::string_view nameOf(DataCentreReach reach) noexcept;
+[[nodiscard]] std::string_view nameOf(DataCentreReachability reach) noexcept;
 
 /// \returns how long nothing may come from a data centre whose routers send an update each
 /// \a updateGap.
-[[nodiscard]] Milliseconds unresponsiveSpan(Duration updateGap) noexcept;
+[[nodiscard]] Milliseconds unresponsiveTimeout(Duration updateGap) noexcept;
 
 /// \returns whether a data centre can be reached. Found once for a whole data centre: each router
 /// sends few requests to each upstream, and would time out at one after the other.
-[[nodiscard]] DataCentreReach reachOf(const DataCentreEvidence &evidence, TimePoint now) noexcept;
+[[nodiscard]] DataCentreReachability reachabilityOf(const DataCentreEvidence &evidence,
+                                                    TimePoint now) noexcept;
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/route.h
+++ b/include/plantainswitch/routing/route.h
@@ -29,7 +29,7 @@
     std::string name;
     std::string host;
     /// Begins and ends with a slash.
-    std::string prefix;
+    std::string pathPrefix;
     RouteKind kind = RouteKind::NonIdempotent;
     std::vector<WeightedService> services;
     /// Longest time from a request's arrival to its final answer.
@@ -37,23 +37,23 @@
     /// Time to the answer, or to a stream's first event, that callers count as prompt.
     Milliseconds objective{0};
     /// 0 is the most urgent.
-    std::uint32_t rank = 0;
+    std::uint32_t priority = 0;
     /// Most upstreams on which one request may run.
     std::uint32_t maxAttempts = 1;
     /// No key is asked for.
-    bool anonymous = false;
+    bool allowsAnonymous = false;
     /// Requests carry prompts, whose cached prefixes are worth finding again.
     bool cachesPrompts = false;
     /// A broken stream may go on at another upstream.
     bool resumable = false;
     /// Longest pause between events that callers count as prompt; 0: not stated.
-    Milliseconds longestPause{0};
+    Milliseconds maxEventInterval{0};
     /// Time to the first event after which callers leave a stream; 0: not stated.
     Milliseconds firstEventTimeout{0};
 };
 
 /// \returns whether a request of \a route may run more than once.
-[[nodiscard]] bool mayRepeat(const Route &route) noexcept;
+[[nodiscard]] bool isRetryable(const Route &route) noexcept;
 
 /// A workspace, the keys that prove it and its own rank.
 struct RoutedWorkspace
@@ -61,14 +61,14 @@
     std::string name;
     std::vector<std::string> keys;
     /// Goes before the route's rank.
-    std::optional<std::uint32_t> rank;
+    std::optional<std::uint32_t> priority;
 };
 
 /// What an upstream of a service with prompt caches can hold.
-struct EngineTraits
+struct EngineCapacity
 {
-    std::uint32_t slots = 0;
-    std::uint64_t memoryTokens = 0;
+    std::uint32_t maxConcurrency = 0;
+    std::uint64_t cacheTokens = 0;
 };
 
 /// A service that routes lead to.
@@ -77,15 +77,15 @@
     std::string name;
     /// Most connections that one of its upstreams takes from all routers together; 0: not stated.
     std::uint32_t connectionLimit = 0;
-    std::optional<EngineTraits> engine;
+    std::optional<EngineCapacity> engine;
 };
 
 /// What callers may send.
 struct CallerLimits
 {
-    std::size_t headBytes = 16384;
-    std::size_t bodyBytes = 4 << 20;
-    Milliseconds headTimeout{3000};
+    std::size_t maxHeaderBytes = 16384;
+    std::size_t maxBodyBytes = 4 << 20;
+    Milliseconds headerTimeout{3000};
     Milliseconds idleTimeout{15000};
 };
 
@@ -98,7 +98,7 @@
     std::vector<RoutedWorkspace> workspaces;
     CallerLimits limits;
     /// Without workspaces no request needs a key.
-    bool asksKeys = false;
+    bool requiresKeys = false;
 };
 
 /// Finds routes, services and workspaces of one configuration; immutable once built.
@@ -131,6 +131,7 @@
 [[nodiscard]] std::string_view serviceOf(const Route &route, std::uint64_t hash) noexcept;
 
 /// \returns the rank of a request: the workspace's own, else the route's.
-[[nodiscard]] std::uint32_t rankOf(const Route &route, const RoutedWorkspace *workspace) noexcept;
+[[nodiscard]] std::uint32_t requestPriority(const Route &route,
+                                            const RoutedWorkspace *workspace) noexcept;
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/routercontacts.h
+++ b/include/plantainswitch/routing/routercontacts.h
@@ -18,11 +18,11 @@
 /// number, so that what a router sends and receives in a second stays the same: 60 datagrams each,
 /// together a twentieth of a 10 Mbit/s link. Who is near hears sooner: keepers and watchers are
 /// near ones.
-inline constexpr std::size_t maxFastNearRouters = 6;
-inline constexpr std::size_t maxFastFarRouters = 6;
+inline constexpr std::size_t maxFastLocalRouters = 6;
+inline constexpr std::size_t maxFastRemoteRouters = 6;
 /// Three updates of a near router fit into peerTimeout, so that one lost datagram means nothing.
-inline constexpr Milliseconds maxNearInterval{500};
-inline constexpr Milliseconds maxFarInterval{5000};
+inline constexpr Milliseconds maxLocalInterval{500};
+inline constexpr Milliseconds maxRemoteInterval{5000};
 /// Updates that must be missed before a router counts as failed. A window of one pause let a lost
 /// datagram remove members, whose return was broadcast at once: 240 routers sent 1 MB/s each
 /// and lost more and more of it.
@@ -33,7 +33,7 @@
 inline constexpr Milliseconds maxConfirmerInterval{200};
 /// Routers of a data centre that watch the store: the first one, and one that goes on while the
 /// first is lost and not yet missed.
-inline constexpr std::size_t watchersInDataCentre = 2;
+inline constexpr std::size_t storeWatchersPerDataCentre = 2;
 /// Silence after which an address is forgotten unless the settings name it: longer than data
 /// centres are cut off from each other. Each restart of a VM may bring a new address; kept for
 /// ever, the failed ones would be sent updates all day.
@@ -44,7 +44,7 @@
     /// Those whose time it is.
     Due,
     /// Also all near ones: something changed that they wait for.
-    Near,
+    Local,
     /// All that are alive.
     All,
 };
@@ -53,7 +53,7 @@
 struct UpdateGroup
 {
     /// When that was; the clock's beginning: never.
-    TimePoint since;
+    TimePoint lastSent;
     std::vector<Endpoint> routers;
 };
 
@@ -62,7 +62,7 @@
 {
     std::string id;
     /// Data centre.
-    std::string place;
+    std::string dataCentre;
     /// When an update last came from there; before that: when the address was added.
     TimePoint lastSeen;
     TimePoint lastSent;
@@ -89,7 +89,7 @@
     /// When the last update came.
     TimePoint lastSeen;
     /// Expected time between two updates.
-    Duration updateGap{0};
+    Duration updateInterval{0};
 };
 
 /// The other routers' addresses, and who of them does what only one or a few may do.
@@ -100,7 +100,7 @@
     /// \param place its data centre
     RouterContacts(std::string id, std::string place)
         : id(std::move(id))
-        , place(std::move(place))
+        , dataCentre(std::move(place))
     {}
 
     /// Adds an address unless it is known.
@@ -108,15 +108,15 @@
     /// Adds an address that is never forgotten: by it routers that lost each other for long meet.
     void addSeed(const Endpoint &address, TimePoint now);
     /// Notes that an update came from \a address. \returns its contact, for what the update says.
-    RouterContact &noteSeen(const Endpoint &address, TimePoint now);
+    RouterContact &recordReceived(const Endpoint &address, TimePoint now);
     /// \returns to whom updates are sent now, and notes that they are.
-    std::vector<UpdateGroup> takeDue(BroadcastScope wave, TimePoint now);
+    std::vector<UpdateGroup> takeDueGroups(BroadcastScope wave, TimePoint now);
     /// Notes that an update is sent to \a address now.
-    void noteSent(const Endpoint &address, TimePoint now);
+    void recordSent(const Endpoint &address, TimePoint now);
     /// Drops routers that were silent for too long. \returns their ids.
-    std::vector<std::string> takeFailed(TimePoint now);
+    std::vector<std::string> removeFailed(TimePoint now);
     /// Forgets addresses that were silent for contactRetention.
-    void forgetUnresponsive(TimePoint now);
+    void removeUnresponsive(TimePoint now);
 
     [[nodiscard]] std::size_t size() const noexcept { return this->contacts.size(); }
     /// \returns how many other routers are alive.
@@ -127,7 +127,7 @@
     /// \returns what comes from the live routers of each other data centre.
     [[nodiscard]] std::map<std::string, DataCentreContact> otherDataCentres(TimePoint now) const;
     /// \returns how many routers of this data centre have sent an update after \a since.
-    [[nodiscard]] std::size_t localSeenSince(TimePoint since) const;
+    [[nodiscard]] std::size_t localRoutersSeenSince(TimePoint since) const;
     /// \returns the longest time between two updates to one router.
     [[nodiscard]] Milliseconds maxInterval() const;
     /// \returns all addresses from which updates of \a router ever came.
@@ -139,11 +139,11 @@
     [[nodiscard]] std::optional<std::size_t> watchRank(TimePoint now) const;
     /// \returns whether this router is the one of the fleet that does what only one may do, for \a
     /// key. The router with the id \a except is not considered.
-    [[nodiscard]] bool isFirstFor(std::uint64_t key, TimePoint now,
-                                  std::string_view except = {}) const;
+    [[nodiscard]] bool isDesignatedFor(std::uint64_t key, TimePoint now,
+                                       std::string_view except = {}) const;
     /// \returns how many routers come before this one in having the store confirm what the fleet
     /// knows: of those that the store answers and whose updates arrive within moments.
-    [[nodiscard]] std::size_t confirmRank(TimePoint now) const;
+    [[nodiscard]] std::size_t confirmerRank(TimePoint now) const;
     /// \returns when the store last confirmed to another router that no configuration is newer than
     /// \a version; the clock's beginning: never.
     [[nodiscard]] TimePoint configConfirmedAt(std::uint64_t version, TimePoint now) const;
@@ -151,34 +151,35 @@
     [[nodiscard]] TimePoint upstreamsConfirmedAt(std::uint64_t revision, TimePoint now) const;
     /// \returns the keeper of the engine life \a life in \a enginePlace; nothing when it is this
     /// router, which takes no part if it \a isStopping.
-    [[nodiscard]] std::optional<Endpoint> keeperOf(std::uint64_t life,
-                                                   const std::string &enginePlace, bool isStopping,
-                                                   TimePoint now) const;
+    [[nodiscard]] std::optional<Endpoint> coordinatorOf(std::uint64_t life,
+                                                        const std::string &enginePlace,
+                                                        bool isStopping, TimePoint now) const;
     /// \returns a router that knows a newer configuration than \a configVersion or more of the
     /// store than \a storeRevision. Another \a turn gives another one.
-    [[nodiscard]] std::optional<Endpoint> newerRouter(std::uint64_t configVersion,
-                                                      std::uint64_t storeRevision,
-                                                      std::uint64_t turn, TimePoint now) const;
+    [[nodiscard]] std::optional<Endpoint> routerWithNewerState(std::uint64_t configVersion,
+                                                               std::uint64_t storeRevision,
+                                                               std::uint64_t turn,
+                                                               TimePoint now) const;
     /// \returns \a most of the live routers, beginning further on with each \a turn.
-    [[nodiscard]] std::vector<Endpoint> someAlive(std::size_t most, std::uint64_t turn,
-                                                  TimePoint now) const;
+    [[nodiscard]] std::vector<Endpoint> aliveSubset(std::size_t most, std::uint64_t turn,
+                                                    TimePoint now) const;
 
 private:
     /// How often updates are sent to the others, by how many they are.
-    struct Rhythm
+    struct GossipIntervals
     {
-        Milliseconds nearInterval{0};
-        Milliseconds farInterval{0};
+        Milliseconds localInterval{0};
+        Milliseconds remoteInterval{0};
         /// Silence after which a router in another data centre counts as gone.
-        Milliseconds farTimeout{0};
+        Milliseconds remoteTimeout{0};
     };
 
-    [[nodiscard]] Rhythm rhythm() const;
-    [[nodiscard]] bool isNear(const RouterContact &contact) const
+    [[nodiscard]] GossipIntervals gossipIntervals() const;
+    [[nodiscard]] bool isLocal(const RouterContact &contact) const
     {
-        return contact.place == this->place;
+        return contact.dataCentre == this->dataCentre;
     }
-    [[nodiscard]] bool isAlive(const RouterContact &contact, const Rhythm &rhythm,
+    [[nodiscard]] bool isAlive(const RouterContact &contact, const GossipIntervals &rhythm,
                                TimePoint now) const;
     /// \returns the newest of \a confirmed at routers that know nothing newer of \a content than
     /// \a known.
@@ -187,7 +188,7 @@
                                                std::uint64_t known, TimePoint now) const;
 
     std::string id;
-    std::string place;
+    std::string dataCentre;
     std::map<Endpoint, RouterContact> contacts;
 };
 
--- a/include/plantainswitch/routing/serviceestimator.h
+++ b/include/plantainswitch/routing/serviceestimator.h
@@ -19,7 +19,7 @@
 };
 
 /// Age at which another router's report no longer counts.
-inline constexpr Seconds figureReportLifetime{30};
+inline constexpr Seconds performanceReportLifetime{30};
 
 /// Estimates the figures of one service from the answers that this router sees and from the
 /// reports of the other routers. Time to first token is fitted by recursive least squares with
@@ -32,21 +32,21 @@
 
     void recordFirstByte(const FirstByteSample &sample);
     /// Takes into account for how long a request held its slot.
-    void recordHold(Duration held);
+    void recordSlotHold(Duration held);
     /// Takes the estimate of another router into account, which replaces its last one.
-    void takeReport(const std::string &router, const FigureReport &report, TimePoint now);
+    void applyReport(const std::string &router, const PerformanceReport &report, TimePoint now);
 
     /// \returns this router's own estimate.
-    [[nodiscard]] FigureReport ownReport() const;
+    [[nodiscard]] PerformanceReport ownReport() const;
     /// \returns the mean over the routers' estimates, weighted by their samples.
-    [[nodiscard]] ServiceFigures figures(TimePoint now) const;
+    [[nodiscard]] ServicePerformance performance(TimePoint now) const;
     /// \returns the mean distance of the last answers from what was expected, in milliseconds.
     [[nodiscard]] double meanError() const noexcept { return this->error; }
 
 private:
-    struct Received
+    struct ReceivedReport
     {
-        FigureReport report;
+        PerformanceReport report;
         TimePoint when;
     };
 
@@ -57,13 +57,13 @@
     RecursiveLeastSquares<3> prefill;
     /// What a transfer adds: constant, thousands of transferred tokens.
     RecursiveLeastSquares<2> transfer;
-    double holdTime;
+    double slotHoldTime;
     double tokensPerRequest;
     double prefillSamples = 0.0;
     double transferSamples = 0.0;
-    double holdSamples = 0.0;
+    double slotHoldSamples = 0.0;
     double error = 0.0;
-    std::map<std::string, Received> received;
+    std::map<std::string, ReceivedReport> received;
 };
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/serviceperformance.h
+++ b/include/plantainswitch/routing/serviceperformance.h
@@ -4,7 +4,7 @@
 
 /// What a service's upstreams are like, estimated from their answers. The defaults are the prior
 /// that holds until enough answers were seen. Delays are in milliseconds.
-struct ServiceFigures
+struct ServicePerformance
 {
     /// Prompt tokens that an engine prefills in a millisecond.
     double prefillRate = 110.0;
@@ -17,19 +17,19 @@
     /// Time that a transfer takes besides.
     double transferSetup = 4.0;
     /// Time for which a request holds its slot.
-    double holdTime = 20.0;
+    double slotHoldTime = 20.0;
     /// Prompt tokens that a request adds to an engine's cache, by prefill or transfer.
     double tokensPerRequest = 500.0;
 };
 
 /// A router's own estimate, as it is shared with the other routers.
-struct FigureReport
+struct PerformanceReport
 {
-    ServiceFigures figures;
+    ServicePerformance performance;
     /// Samples that the figures of prefill, of transfers and of holding rest on, up to a limit.
     double prefillSamples = 0.0;
     double transferSamples = 0.0;
-    double holdSamples = 0.0;
+    double slotHoldSamples = 0.0;
 };
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/updatelog.h
+++ b/include/plantainswitch/routing/updatelog.h
@@ -14,30 +14,30 @@
 {
 public:
     /// Notes a chain that an engine was given to read.
-    void noteChain(const PrefixReport &chain, TimePoint now);
+    void recordPrefix(const PrefixReport &chain, TimePoint now);
     /// Notes a crash that was confirmed here.
-    void noteCrash(const CrashReport &crash, TimePoint now);
+    void recordCrash(const CrashReport &crash, TimePoint now);
     /// Notes that a request under suspicion was answered.
-    void noteCleared(RequestFingerprint request, TimePoint now);
+    void recordCleared(RequestFingerprint request, TimePoint now);
     /// Forgets what happened before \a then: everybody has been told.
-    void forgetBefore(TimePoint then);
+    void removeBefore(TimePoint then);
 
     /// \returns the newest \a most chains since \a since.
-    [[nodiscard]] std::vector<PrefixReport> chainsSince(TimePoint since, std::size_t most) const;
+    [[nodiscard]] std::vector<PrefixReport> prefixesSince(TimePoint since, std::size_t most) const;
     /// \returns what was noted of crashes since \a since.
-    [[nodiscard]] CrashUpdate suspectsSince(TimePoint since) const;
+    [[nodiscard]] CrashUpdate crashesSince(TimePoint since) const;
 
 private:
     template<typename Item>
-    struct Noted
+    struct Entry
     {
         Item item;
         TimePoint when;
     };
 
-    std::deque<Noted<PrefixReport>> chains;
-    std::deque<Noted<CrashReport>> crashes;
-    std::deque<Noted<RequestFingerprint>> cleared;
+    std::deque<Entry<PrefixReport>> prefixes;
+    std::deque<Entry<CrashReport>> crashes;
+    std::deque<Entry<RequestFingerprint>> cleared;
 };
 
 } // namespace plantainswitch
--- a/include/plantainswitch/upstreams/retrybudget.h
+++ b/include/plantainswitch/upstreams/retrybudget.h
@@ -8,9 +8,9 @@
 /// multiply the load on those that are left.
 struct RetryBudgetSettings
 {
-    double perRequest = 0.1;
+    double depositPerRequest = 0.1;
     /// Retries that may follow each other after a quiet time.
-    double most = 50.0;
+    double maxTokens = 50.0;
 };
 
 /// The retries that a router may still make.
@@ -19,13 +19,13 @@
 public:
     explicit RetryBudget(RetryBudgetSettings settings = {})
         : settings(settings)
-        , tokens(settings.most)
+        , tokens(settings.maxTokens)
     {}
 
     /// Earns a request's share.
-    void earn();
+    void deposit();
     /// Takes one retry. \returns whether there was one.
-    [[nodiscard]] bool spend();
+    [[nodiscard]] bool tryWithdraw();
 
 private:
     RankedMutex mutex{LockRank::Suspects};
--- a/include/plantainswitch/upstreams/sse.h
+++ b/include/plantainswitch/upstreams/sse.h
@@ -8,7 +8,7 @@
 namespace plantainswitch {
 
 /// Longest server-sent event that is relayed; a longer one is garbage.
-inline constexpr std::size_t longestEvent = 1 << 20;
+inline constexpr std::size_t maxSseEventBytes = 1 << 20;
 
 /// Splits a byte stream into the data of server-sent events, in bounded memory.
 class SseParser
--- a/include/plantainswitch/upstreams/suspects.h
+++ b/include/plantainswitch/upstreams/suspects.h
@@ -16,7 +16,7 @@
 using Fingerprint = std::uint64_t;
 
 /// What a router tells all others of a crash, or of suspects that have cleared themselves.
-struct SuspectNews
+struct SuspectUpdate
 {
     UpstreamId upstream = 0;
     std::vector<Fingerprint> crashed;
@@ -27,12 +27,12 @@
 struct SuspectLimits
 {
     /// Crashes with the same request after which it is held back.
-    std::uint32_t crashes = 2;
+    std::uint32_t quarantineThreshold = 2;
     /// How long a request is held back, and how long a suspect is remembered.
     Duration quarantine = Seconds{600};
     /// Reports of one upstream within this time are of one crash.
-    Duration sameCrash = Milliseconds{500};
-    std::size_t most = 10'000;
+    Duration sameCrashWindow = Milliseconds{500};
+    std::size_t maxSuspects = 10'000;
 };
 
 /// A request that was in flight on an upstream that crashed.
@@ -47,51 +47,53 @@
 struct Suspects
 {
     SuspectLimits limits;
-    std::map<Fingerprint, Suspect> known;
+    std::map<Fingerprint, Suspect> entries;
 };
 
 /// What a request's blame means for it.
-enum class Blame : std::uint8_t {
+enum class SuspectStatus : std::uint8_t {
     None,
     /// Runs, but never beside another suspect.
-    Suspect,
+    Suspected,
     /// Does not run.
     Quarantined,
 };
 
 /// Takes a crash or a clearing into account, learnt here or from a peer.
-void takeNews(Suspects &suspects, const SuspectNews &news, TimePoint now);
+void applySuspectUpdate(Suspects &suspects, const SuspectUpdate &news, TimePoint now);
 
 /// \returns the blame on \a fingerprint at \a now.
-[[nodiscard]] Blame blameOf(const Suspects &suspects, Fingerprint fingerprint, TimePoint now);
+[[nodiscard]] SuspectStatus suspectStatusOf(const Suspects &suspects, Fingerprint fingerprint,
+                                            TimePoint now);
 
 /// \returns the upstreams that a request must keep away from: for a suspect, those on which
 /// another suspect runs. Two suspects on one engine would share the blame of its next crash, seen
 /// as an innocent request held back.
 /// \param running fingerprints by the upstream on which they run
 [[nodiscard]] std::vector<UpstreamId>
-keepAwayFrom(const Suspects &suspects, Fingerprint fingerprint,
-             const std::vector<std::pair<UpstreamId, Fingerprint>> &running, TimePoint now);
+excludedUpstreams(const Suspects &suspects, Fingerprint fingerprint,
+                  const std::vector<std::pair<UpstreamId, Fingerprint>> &running, TimePoint now);
 
 /// \returns whether a keeper must not let the request run now: it is quarantined, though its
 /// router may not have heard yet, or a copy of the same suspect runs already. A second copy could
 /// take a second upstream down before the first one's crash is known.
-[[nodiscard]] bool isHeldBack(const Suspects &suspects, Fingerprint fingerprint,
-                              const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
-                              TimePoint now);
+[[nodiscard]] bool isBlocked(const Suspects &suspects, Fingerprint fingerprint,
+                             const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
+                             TimePoint now);
 
 /// The same behind a lock.
 class SuspectTable
 {
 public:
-    void take(const SuspectNews &news, TimePoint now);
-    [[nodiscard]] Blame blame(Fingerprint fingerprint, TimePoint now) const;
+    void applyUpdate(const SuspectUpdate &news, TimePoint now);
+    [[nodiscard]] SuspectStatus statusOf(Fingerprint fingerprint, TimePoint now) const;
     [[nodiscard]] std::vector<UpstreamId>
-    keepAway(Fingerprint fingerprint,
-             const std::vector<std::pair<UpstreamId, Fingerprint>> &running, TimePoint now) const;
-    [[nodiscard]] bool heldBack(Fingerprint fingerprint,
-                                const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
-                                TimePoint now) const;
+    excludedFor(Fingerprint fingerprint,
+                const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
+                TimePoint now) const;
+    [[nodiscard]] bool blocks(Fingerprint fingerprint,
+                              const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
+                              TimePoint now) const;
 
 private:
     mutable RankedMutex mutex{LockRank::Suspects};
--- a/include/plantainswitch/upstreams/upstreams.h
+++ b/include/plantainswitch/upstreams/upstreams.h
@@ -25,11 +25,11 @@
     Vm vm;
     UpstreamId shortId = 0;
     /// Until then it gets no new work, after failures to connect.
-    TimePoint avoidUntil;
+    TimePoint ejectedUntil;
 };
 
 /// A leaving VM that is off the list.
-struct LeftUpstream
+struct DelistedUpstream
 {
     std::uint64_t started = 0;
     TimePoint since;
@@ -37,10 +37,10 @@
 
 /// Time off the list after which a VM of the same id is a new one: longer than copies of the
 /// list differ, so that a flapping list does not revive what is leaving.
-inline constexpr Duration newLifeAfter = Seconds{60};
+inline constexpr Duration newIncarnationAfter = Seconds{60};
 
 /// How long an upstream that refused a connection is left alone.
-inline constexpr Duration connectPenalty = Milliseconds{1000};
+inline constexpr Duration connectFailureEjection = Milliseconds{1000};
 
 /// The upstreams as this router sees them.
 class UpstreamTable
@@ -53,9 +53,9 @@
     void replace(const std::vector<Vm> &vms, TimePoint now = TimePoint{});
     /// Marks an upstream as leaving, learnt from its own answer or from a peer; also one that
     /// the list does not show yet.
-    void markLeaving(const std::string &id, TimePoint now = TimePoint{});
+    void markDraining(const std::string &id, TimePoint now = TimePoint{});
     /// \returns the VMs that began to leave since the last call, for the notice to peers.
-    [[nodiscard]] std::vector<std::string> takeNewlyLeaving();
+    [[nodiscard]] std::vector<std::string> takeNewlyDraining();
     /// Leaves an upstream alone for a moment after it could not be reached.
     void markUnreachable(UpstreamId id, TimePoint now);
 
@@ -63,22 +63,22 @@
     [[nodiscard]] std::vector<Upstream> ready(std::string_view service, std::string_view place,
                                               TimePoint now) const;
     /// \returns whether any upstream was ever known; before that a router is not ready to serve.
-    [[nodiscard]] bool known() const;
+    [[nodiscard]] bool wasPopulated() const;
     /// \returns the upstream of that short identity, or nothing.
     [[nodiscard]] std::optional<Upstream> find(UpstreamId id) const;
 
 private:
     mutable RankedMutex mutex{LockRank::Upstreams};
     /// The upstreams of one place by service.
-    using PlacePools = std::map<std::string, std::vector<UpstreamId>, std::less<>>;
+    using DataCentrePools = std::map<std::string, std::vector<UpstreamId>, std::less<>>;
 
     std::map<UpstreamId, Upstream> upstreams;
     /// By place; a request then looks at its pool alone, not at every upstream of the fleet.
-    std::map<std::string, PlacePools, std::less<>> pools;
+    std::map<std::string, DataCentrePools, std::less<>> pools;
     /// Leaving VMs that the list does not show at present.
-    std::map<UpstreamId, LeftUpstream> left;
-    std::vector<std::string> newlyLeaving;
-    bool taken = false;
+    std::map<UpstreamId, DelistedUpstream> delisted;
+    std::vector<std::string> newlyDraining;
+    bool populated = false;
 };
 
 } // namespace plantainswitch
--- a/lab/claimsbench.cpp
+++ b/lab/claimsbench.cpp
@@ -47,9 +47,9 @@
 
 struct Ask
 {
-    ClaimAsk ask;
+    ClaimRequest ask;
     std::size_t owner = 0;
-    AskRoute route;
+    ClaimRoute route;
     TimePoint begun;
     std::uint64_t timer = 0;
 };
@@ -81,7 +81,7 @@
             this->routers[index].id = hashOf("router-" + std::to_string(index), options.seed);
             this->routers[index].place = static_cast<std::uint32_t>(index % options.places);
         }
-        for (std::uint32_t slice = 0; slice < claimSlices; ++slice) {
+        for (std::uint32_t slice = 0; slice < claimSliceCount; ++slice) {
             fillWithLongLog(this->store, slice, options.log);
             this->usual.insert(this->writersAt(0, slice).front());
         }
@@ -153,7 +153,7 @@
             }
         }
         for (const std::size_t each :
-             writersOf(slice, candidates, std::to_string(place), this->options.writers)) {
+             claimWritersOf(slice, candidates, std::to_string(place), this->options.writers)) {
             found->second.push_back(indexes[each]);
         }
         return found->second;
@@ -212,14 +212,14 @@
             ids.push_back(this->routers[writer].id);
         }
         Router &owner = this->routers[ask.owner];
-        const AskStep step = nextAskStep(ask.route, owner.silent, ids, owner.id,
-                                         this->options.writers, this->clock.now());
-        if (step.action == AskAction::Refuse) {
+        const ClaimRouteStep step = nextClaimRouteStep(ask.route, owner.silent, ids, owner.id,
+                                                       this->options.writers, this->clock.now());
+        if (step.action == ClaimRouteAction::Refuse) {
             this->finish(nonce, false);
             return;
         }
         this->askAgain(ask, step.wait);
-        if (step.action == AskAction::WriteHere) {
+        if (step.action == ClaimRouteAction::WriteLocally) {
             Slice &slice = this->sliceAt(ask.owner, ask.ask);
             if (!this->takeAsk(slice, ask.ask)) {
                 this->finish(nonce, false);
@@ -246,15 +246,15 @@
         });
     }
 
-    bool takeAsk(Slice &slice, const ClaimAsk &ask)
+    bool takeAsk(Slice &slice, const ClaimRequest &ask)
     {
         const TimePoint now = this->clock.now();
         const bool failing = slice.log.failingSince && now - *slice.log.failingSince > failingLong;
-        return !(failing && (slice.log.calling || now < slice.log.writeAfter))
+        return !(failing && (slice.log.callOutstanding || now < slice.log.nextWriteAt))
                && enqueueClaim(slice.log, ask);
     }
 
-    Slice &sliceAt(std::size_t router, const ClaimAsk &ask)
+    Slice &sliceAt(std::size_t router, const ClaimRequest &ask)
     {
         const std::uint32_t number = sliceOf(ask.claim.id);
         const auto [found, fresh] = this->routers[router].slices.try_emplace(number);
@@ -266,7 +266,7 @@
         return found->second;
     }
 
-    void hearAsk(std::size_t router, std::size_t from, const ClaimAsk &ask)
+    void hearAsk(std::size_t router, std::size_t from, const ClaimRequest &ask)
     {
         Slice &slice = this->sliceAt(router, ask);
         const bool taken = this->takeAsk(slice, ask);
@@ -290,11 +290,11 @@
             return;
         }
         Ask &ask = found->second;
-        hearWriter(ask.route, this->routers[ask.owner].silent);
+        recordWriterAck(ask.route, this->routers[ask.owner].silent);
         if (reply.verdict == ClaimVerdict::Queued) {
-            this->askAgain(ask, this->options.writers.askAgainAfter);
+            this->askAgain(ask, this->options.writers.resendInterval);
         } else if (reply.verdict == ClaimVerdict::Unavailable) {
-            refuseWriter(ask.route);
+            recordWriterRefusal(ask.route);
             this->step(reply.nonce);
         } else {
             this->finish(reply.nonce, reply.verdict == ClaimVerdict::Granted);
@@ -340,7 +340,7 @@
     void pump(std::size_t router, Slice &slice)
     {
         const TimePoint now = this->clock.now();
-        this->deliver(router, slice, settleClaims(slice.log, now));
+        this->deliver(router, slice, decideClaims(slice.log, now));
         const WallTime wall{std::chrono::duration_cast<Milliseconds>(now.time_since_epoch())};
         if (const auto call = nextStoreCall(slice.log, now, wall)) {
             this->runCall(router, slice, *call);
@@ -364,7 +364,7 @@
         const bool first = call.name == std::to_string(slice.log.slice) + "-g0";
         now.loads += !call.write && first ? 1 : 0;
         this->after(this->options.storeTime / 2, [this, router, &slice, call] {
-            const StoreAnswer answer = this->apply(call);
+            const StoreResponse answer = this->apply(call);
             Router &caller = this->routers[router];
             caller.storeBytes += call.write ? call.body.dump().size() : answer.body.dump().size();
             this->after(this->options.storeTime / 2, [this, router, &slice, answer] {
@@ -373,7 +373,7 @@
         });
     }
 
-    void takeAnswer(std::size_t router, Slice &slice, const StoreAnswer &answer)
+    void takeAnswer(std::size_t router, Slice &slice, const StoreResponse &answer)
     {
         if (this->paused(router)) {
             this->after(this->faultEnd - this->clock.now(), [this, router, &slice, answer] {
@@ -381,16 +381,16 @@
             });
             return;
         }
-        this->deliver(router, slice, takeStoreAnswer(slice.log, answer, this->clock.now()));
+        this->deliver(router, slice, handleStoreResponse(slice.log, answer, this->clock.now()));
         this->pump(router, slice);
     }
 
-    StoreAnswer apply(const StoreCall &call)
+    StoreResponse apply(const StoreCall &call)
     {
         if (this->inFault(ClaimFault::StoreDown)) {
             return {StoreOutcome::Rejected, 0, {}};
         }
-        StoreAnswer answer = carryOut(this->store, call);
+        StoreResponse answer = carryOut(this->store, call);
         this->counts().lostRaces += answer.outcome == StoreOutcome::Conflict ? 1 : 0;
         return answer;
     }
--- a/lab/demo.cpp
+++ b/lab/demo.cpp
@@ -55,8 +55,8 @@
     auto promise = std::make_shared<std::promise<std::string>>();
     net::HttpCall call;
     call.url = url;
-    call.wholeTimeout = std::chrono::seconds(2);
-    http.fetch(call, [promise](const net::HttpAnswer &answer) {
+    call.totalTimeout = std::chrono::seconds(2);
+    http.fetch(call, [promise](const net::HttpResponse &answer) {
         constexpr int statusOk = 200;
         promise->set_value(answer.status == statusOk ? answer.body : std::string{});
     });
@@ -99,7 +99,7 @@
 {
     std::map<std::string, std::vector<double>> pools;
     for (const auto &engine : stage.standIns.engines) {
-        pools[engine->vm().place].push_back(static_cast<double>(engine->load()));
+        pools[engine->vm().dataCentre].push_back(static_cast<double>(engine->load()));
     }
     for (const auto &[place, loads] : pools) {
         double sum = 0;
--- a/lab/enginestandin.cpp
+++ b/lab/enginestandin.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using nlohmann::json;
-using ReplyPointer = std::shared_ptr<net::HttpReply>;
+using ReplyPointer = std::shared_ptr<net::HttpResponder>;
 
 constexpr int statusOk = 200;
 constexpr int statusBad = 400;
@@ -44,7 +44,7 @@
     return Duration(instant.time_since_epoch()).count();
 }
 
-void respond(net::HttpReply &reply, int status, const json &body)
+void respond(net::HttpResponder &reply, int status, const json &body)
 {
     reply.respond(status, {{"content-type", "application/json"}}, body.dump());
 }
@@ -168,7 +168,7 @@
 
 void EngineStandIn::State::watchCaller(const std::string &id, const ReplyPointer &reply)
 {
-    reply->onGone([weak = this->weak_from_this(), id] {
+    reply->onDisconnect([weak = this->weak_from_this(), id] {
         if (const auto self = weak.lock()) {
             const std::lock_guard lock(self->mutex);
             self->model.cancel(id);
--- a/lab/fairness.cpp
+++ b/lab/fairness.cpp
@@ -87,22 +87,22 @@
 
     void ask(std::uint64_t workspace)
     {
-        SlotAsk ask{this->nextId++, {"model", "place", 0}, this->random(), 0, {}};
+        SlotRequest ask{this->nextId++, {"model", "place", 0}, this->random(), 0, {}};
         ask.waitMilliseconds = allowedWait;
         ask.workspace = this->fair ? workspace : 0;
-        this->owners[ask.askId] = workspace;
+        this->owners[ask.requestId] = workspace;
         if (this->queue.length == 0 && this->grant(ask, this->clock.now())) {
             return;
         }
         QueueSettings settings;
-        settings.mostForWeight = this->fair ? settings.mostForWeight : settings.mostInAll;
-        const auto outcome = enqueueAsk(this->queue, 1, ask, settings, this->clock.now());
+        settings.maxPerWeight = this->fair ? settings.maxPerWeight : settings.maxTotal;
+        const auto outcome = enqueueRequest(this->queue, 1, ask, settings, this->clock.now());
         if (outcome.verdict == QueueVerdict::Refused) {
             ++(workspace == 0 ? this->result.surgingRefused : this->result.othersRefused);
         }
     }
 
-    bool grant(const SlotAsk &ask, TimePoint arrived)
+    bool grant(const SlotRequest &ask, TimePoint arrived)
     {
         const SlotReply reply =
             grantSlot(this->shard, 1, ask, {this->ready, this->bound, false}, this->clock.now());
@@ -110,11 +110,11 @@
             return false;
         }
         EngineRequest request;
-        request.id = std::to_string(ask.askId);
+        request.id = std::to_string(ask.requestId);
         request.answerTokens = answerTokens;
         this->engines[reply.upstream - 1].submit(std::move(request));
         const std::chrono::duration<double, std::milli> wait = this->clock.now() - arrived;
-        if (this->owners[ask.askId] == 0) {
+        if (this->owners[ask.requestId] == 0) {
             ++this->result.surgingServed;
         } else {
             this->result.othersWaits.push_back(wait.count());
@@ -136,22 +136,22 @@
     void expire()
     {
         for (auto &[workspace, flow] : this->queue.flows) {
-            for (QueuedAsk &queued : flow.waiting) {
-                queued.heard = this->clock.now();
+            for (QueuedRequest &queued : flow.waiting) {
+                queued.lastRepeatedAt = this->clock.now();
             }
         }
-        for (const QueuedAsk &expired : expireAsks(this->queue, this->clock.now())) {
-            this->result.othersExpired += this->owners[expired.ask.askId] == 0 ? 0 : 1;
+        for (const QueuedRequest &expired : expireRequests(this->queue, this->clock.now())) {
+            this->result.othersExpired += this->owners[expired.request.requestId] == 0 ? 0 : 1;
         }
     }
 
     void drain()
     {
-        while (const QueuedAsk *next = nextAsk(this->queue)) {
-            if (!this->grant(next->ask, next->arrived)) {
+        while (const QueuedRequest *next = peekRequest(this->queue)) {
+            if (!this->grant(next->request, next->arrivedAt)) {
                 return;
             }
-            popAsk(this->queue, true, this->clock.now());
+            popRequest(this->queue, true, this->clock.now());
         }
     }
 
@@ -160,7 +160,7 @@
     bool fair;
     std::vector<EngineModel> engines;
     std::vector<UpstreamId> ready;
-    BoundSettings bound;
+    LoadBoundSettings bound;
     ShardState shard;
     FairQueue queue;
     std::map<std::uint32_t, std::uint64_t> owners;
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -84,9 +84,9 @@
     return true;
 }
 
-bool Fleet::startAndMeet()
+bool Fleet::startAndConverge()
 {
-    return this->start() && eventually([this] { return this->allKnowEachOther(); });
+    return this->start() && eventually([this] { return this->hasConverged(); });
 }
 
 std::size_t Fleet::memberCount(std::size_t router)
@@ -95,7 +95,7 @@
     return page.is_object() ? page.at("members").size() : 0;
 }
 
-bool Fleet::allKnowEachOther()
+bool Fleet::hasConverged()
 {
     for (std::size_t router = 0; router < this->layout.size(); ++router) {
         if (this->memberCount(router) != this->layout.size()) {
@@ -136,12 +136,12 @@
 void Fleet::freezeRouter(std::size_t index)
 {
     this->cuts.silence(index, true);
-    this->routers.at(index).router->freeze();
+    this->routers.at(index).router->pauseWorkers();
 }
 
 void Fleet::thawRouter(std::size_t index)
 {
-    this->routers.at(index).router->thaw();
+    this->routers.at(index).router->resumeWorkers();
     this->cuts.silence(index, false);
 }
 
@@ -161,23 +161,23 @@
         [this, index] { return this->operatorPage(index, "/readyz").status == statusOk; });
 }
 
-net::HttpAnswer Fleet::fetch(net::HttpCall call)
+net::HttpResponse Fleet::fetch(net::HttpCall call)
 {
-    auto answer = std::make_shared<std::promise<net::HttpAnswer>>();
-    call.wholeTimeout = patience;
+    auto answer = std::make_shared<std::promise<net::HttpResponse>>();
+    call.totalTimeout = patience;
     this->http.fetch(std::move(call),
-                     [answer](net::HttpAnswer got) { answer->set_value(std::move(got)); });
+                     [answer](net::HttpResponse got) { answer->set_value(std::move(got)); });
     return answer->get_future().get();
 }
 
-net::HttpAnswer Fleet::call(std::size_t router, net::HttpCall call)
+net::HttpResponse Fleet::call(std::size_t router, net::HttpCall call)
 {
     call.url = "http://" + toText(this->layout[router].callers) + call.url;
     return this->fetch(std::move(call));
 }
 
-net::HttpAnswer Fleet::chat(std::size_t router, const std::string &token, const std::string &chatId,
-                            const nlohmann::json &body)
+net::HttpResponse Fleet::chat(std::size_t router, const std::string &token,
+                              const std::string &chatId, const nlohmann::json &body)
 {
     net::HttpCall call;
     call.method = "POST";
@@ -187,7 +187,7 @@
     return this->call(router, std::move(call));
 }
 
-net::HttpAnswer Fleet::operatorPage(std::size_t router, const std::string &path)
+net::HttpResponse Fleet::operatorPage(std::size_t router, const std::string &path)
 {
     net::HttpCall call;
     call.url = "http://" + toText(this->layout[router].operators) + path;
@@ -213,7 +213,7 @@
     return page.is_object() ? page : nlohmann::json();
 }
 
-net::HttpAnswer Fleet::platformPage(const std::string &path)
+net::HttpResponse Fleet::platformPage(const std::string &path)
 {
     net::HttpCall call;
     call.url = "http://" + toText(platformOf(this->deployment)) + path;
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -30,11 +30,11 @@
     /// Starts all routers and waits until each is ready. \returns whether all are.
     [[nodiscard]] bool start();
     /// Starts all routers and waits until each is ready and knows all others.
-    [[nodiscard]] bool startAndMeet();
+    [[nodiscard]] bool startAndConverge();
     /// \returns how many routers a router counts as members, itself included.
     [[nodiscard]] std::size_t memberCount(std::size_t router);
     /// \returns whether each router counts all routers of the layout as members.
-    [[nodiscard]] bool allKnowEachOther();
+    [[nodiscard]] bool hasConverged();
     void startRouter(std::size_t index);
     /// Asks for a graceful stop; awaitStopped() waits for its end.
     void stopRouter(std::size_t index);
@@ -51,18 +51,18 @@
     [[nodiscard]] bool awaitReady(std::size_t index);
 
     /// Calls a router's callers' address and waits for the answer.
-    net::HttpAnswer call(std::size_t router, net::HttpCall call);
+    net::HttpResponse call(std::size_t router, net::HttpCall call);
     /// Posts to /v1/chat/completions; \a path of the call is filled in.
-    net::HttpAnswer chat(std::size_t router, const std::string &token, const std::string &chatId,
-                         const nlohmann::json &body);
+    net::HttpResponse chat(std::size_t router, const std::string &token, const std::string &chatId,
+                           const nlohmann::json &body);
     /// Fetches a page of a router's operators' address.
-    net::HttpAnswer operatorPage(std::size_t router, const std::string &path);
+    net::HttpResponse operatorPage(std::size_t router, const std::string &path);
     /// \returns a router's /status page, or null when it has none to show.
     nlohmann::json status(std::size_t router);
     /// Waits until each router of the layout has at least catalogue \a version in force.
     [[nodiscard]] bool eventuallyInForce(std::uint64_t version);
     /// Fetches a page of the platform.
-    net::HttpAnswer platformPage(const std::string &path);
+    net::HttpResponse platformPage(const std::string &path);
     /// Puts the platform's faults.
     void setFaults(const nlohmann::json &faults);
     /// Waits until \a condition holds, for at most a generous time. \returns whether it did.
@@ -87,7 +87,7 @@
         std::thread thread;
     };
 
-    net::HttpAnswer fetch(net::HttpCall call);
+    net::HttpResponse fetch(net::HttpCall call);
 
     Cuts cuts;
     SystemClock clock;
--- a/lab/history.cpp
+++ b/lab/history.cpp
@@ -63,10 +63,10 @@
     return checkCount(history, HistoryKind::Crashed, bound, "crashed upstreams");
 }
 
-std::optional<RecordedTime> timeToForce(const std::vector<VersionSeen> &seen,
-                                        const AcceptedEdit &edit, std::size_t router)
+std::optional<RecordedTime> propagationTime(const std::vector<VersionObservation> &seen,
+                                            const AcceptedEdit &edit, std::size_t router)
 {
-    for (const VersionSeen &each : seen) {
+    for (const VersionObservation &each : seen) {
         if (each.router == router && each.version >= edit.version) {
             return std::max(each.asked - edit.accepted, RecordedTime{0});
         }
@@ -74,10 +74,10 @@
     return std::nullopt;
 }
 
-std::optional<std::string> checkVersionsNeverFall(const std::vector<VersionSeen> &seen)
+std::optional<std::string> checkVersionsMonotonic(const std::vector<VersionObservation> &seen)
 {
     std::map<std::size_t, std::uint64_t> highest;
-    for (const VersionSeen &each : seen) {
+    for (const VersionObservation &each : seen) {
         std::uint64_t &before = highest[each.router];
         if (each.version < before) {
             return fmt::format("router {} fell from version {} to {}", each.router, before,
@@ -88,12 +88,12 @@
     return std::nullopt;
 }
 
-std::optional<std::string> checkInForceWithin(const std::vector<VersionSeen> &seen,
+std::optional<std::string> checkInForceWithin(const std::vector<VersionObservation> &seen,
                                               const AcceptedEdit &edit, std::size_t routers,
                                               RecordedTime bound)
 {
     for (std::size_t router = 0; router < routers; ++router) {
-        const auto lag = timeToForce(seen, edit, router);
+        const auto lag = propagationTime(seen, edit, router);
         if (!lag || *lag > bound) {
             return fmt::format("router {} showed edit {} {}", router, edit.version,
                                lag ? fmt::format("after {} ms", lag->count()) : "never");
--- a/lab/history.h
+++ b/lab/history.h
@@ -46,7 +46,7 @@
 using RecordedTime = std::chrono::milliseconds;
 
 /// A catalogue version that a router showed as in force when it was asked.
-struct VersionSeen
+struct VersionObservation
 {
     std::size_t router = 0;
     std::uint64_t version = 0;
@@ -62,15 +62,15 @@
 };
 
 /// \returns how long after \a edit was accepted \a router first showed it, or nothing.
-[[nodiscard]] std::optional<RecordedTime> timeToForce(const std::vector<VersionSeen> &seen,
-                                                      const AcceptedEdit &edit, std::size_t router);
+[[nodiscard]] std::optional<RecordedTime>
+propagationTime(const std::vector<VersionObservation> &seen, const AcceptedEdit &edit,
+                std::size_t router);
 /// No router may show a lower version than it showed before.
 [[nodiscard]] std::optional<std::string>
-checkVersionsNeverFall(const std::vector<VersionSeen> &seen);
+checkVersionsMonotonic(const std::vector<VersionObservation> &seen);
 /// Each of \a routers must show \a edit within \a bound.
-[[nodiscard]] std::optional<std::string> checkInForceWithin(const std::vector<VersionSeen> &seen,
-                                                            const AcceptedEdit &edit,
-                                                            std::size_t routers,
-                                                            RecordedTime bound);
+[[nodiscard]] std::optional<std::string>
+checkInForceWithin(const std::vector<VersionObservation> &seen, const AcceptedEdit &edit,
+                   std::size_t routers, RecordedTime bound);
 
 } // namespace plantainswitch::lab
--- a/lab/limitsim.cpp
+++ b/lab/limitsim.cpp
@@ -103,7 +103,7 @@
         for (; count > 0; --count) {
             if (!this->tables[router]->admit(workspace, this->limit, this->sizes[router],
                                              this->clock.now())) {
-                this->tables[router]->end(workspace);
+                this->tables[router]->release(workspace);
                 admitted += 1;
             }
         }
@@ -118,15 +118,15 @@
         const LimitLookup lookup = [this](WorkspaceId) { return std::optional(this->limit); };
         ++this->sequence;
         for (std::size_t router = 0; router < this->tables.size(); ++router) {
-            const auto uses = this->tables[router]->due(this->sequence, lookup, this->sizes[router],
-                                                        this->clock.now());
+            const auto uses = this->tables[router]->dueReports(
+                this->sequence, lookup, this->sizes[router], this->clock.now());
             const std::size_t to = this->owner[router];
             if (uses.empty() || to >= this->tables.size()) {
                 continue;
             }
-            const LimitShares shares = this->tables[to]->divide(
+            const LimitShares shares = this->tables[to]->allocateShares(
                 router + 1, {this->sequence, uses}, lookup, this->sizes[to], this->clock.now());
-            this->tables[router]->take(shares, this->clock.now());
+            this->tables[router]->applyShares(shares, this->clock.now());
         }
     }
 
@@ -162,7 +162,7 @@
     }));
     report["backToAll"] = toJson(fleet.run([&](std::size_t) { return even; }));
     std::fill(fleet.owner.begin(), fleet.owner.end(), 1);
-    fleet.sizes[1].changed = fleet.now();
+    fleet.sizes[1].changedAt = fleet.now();
     report["ownerChanges"] = toJson(fleet.run([&](std::size_t) { return even; }));
     std::fill(fleet.owner.begin(), fleet.owner.end(), routers);
     report["noOwnerReachable"] = toJson(fleet.run([&](std::size_t) { return even; }));
@@ -234,11 +234,11 @@
         for (int count = arrivals(random); count > 0; --count) {
             const WorkspaceId id = workspaceIdOf(std::to_string(pick(random)));
             if (!table.admit(id, limits.at(id), size, clock.now())) {
-                table.end(id);
+                table.release(id);
             }
         }
         std::map<std::string, LimitReport> batches;
-        for (const LimitUse &use : table.due(++sequence, lookup, size, clock.now())) {
+        for (const LimitUse &use : table.dueReports(++sequence, lookup, size, clock.now())) {
             LimitReport &batch = batches[limitOwnerOf(use.workspace, members)->id];
             batch.sequence = sequence;
             batch.uses.push_back(use);
@@ -251,7 +251,7 @@
             reportBytes += sizeOf(report);
             answerBytes += sizeOf(shares);
             ++datagrams;
-            table.take(shares, clock.now());
+            table.applyShares(shares, clock.now());
         }
         clock.advance(reportTick);
     }
--- a/lab/load.cpp
+++ b/lab/load.cpp
@@ -101,7 +101,7 @@
     void sendOrder();
     void takeData(Turn &turn, std::string_view bytes) const;
     void takeEvent(Turn &turn, const std::string &event) const;
-    void finishChat(const std::shared_ptr<Turn> &turn, net::HttpEnd end);
+    void finishChat(const std::shared_ptr<Turn> &turn, net::HttpOutcome end);
     void finishOne();
     void countRefusal(int status, const std::string &body);
     std::string nextRouter();
@@ -222,7 +222,7 @@
                      {"max_tokens", this->options.answerTokens},
                      {"messages", chat.messages}}
                     .dump();
-    call.wholeTimeout = patience;
+    call.totalTimeout = patience;
     net::HttpEvents events;
     const auto self = this->shared_from_this();
     events.onHeaders = [turn](int status, const net::Headers &) { turn->status = status; };
@@ -230,7 +230,7 @@
         self->takeData(*turn, bytes);
         return true;
     };
-    events.onEnd = [self, turn](net::HttpEnd end, const std::string &) {
+    events.onEnd = [self, turn](net::HttpOutcome end, const std::string &) {
         asio::post(self->strand, [self, turn, end] { self->finishChat(turn, end); });
     };
     ++this->open;
@@ -287,11 +287,11 @@
     ++this->refused[kind];
 }
 
-void Load::State::finishChat(const std::shared_ptr<Turn> &turn, net::HttpEnd end)
+void Load::State::finishChat(const std::shared_ptr<Turn> &turn, net::HttpOutcome end)
 {
     Chat &chat = this->chats[turn->chat];
     chat.busy = false;
-    const bool whole = turn->status == statusOk && turn->done && end == net::HttpEnd::Whole;
+    const bool whole = turn->status == statusOk && turn->done && end == net::HttpOutcome::Complete;
     {
         const std::lock_guard lock(this->mutex);
         if (turn->wrong || (whole && turn->words != this->options.answerTokens)) {
@@ -326,19 +326,19 @@
                     {"idempotency-key", key},
                     {"x-non-idempotent", "true"}};
     call.body = "order " + key;
-    call.wholeTimeout = patience;
+    call.totalTimeout = patience;
     ++this->open;
     {
         const std::lock_guard lock(this->mutex);
         ++this->sent;
     }
     this->http.fetch(
-        std::move(call), [self = this->shared_from_this(), key](const net::HttpAnswer &answer) {
+        std::move(call), [self = this->shared_from_this(), key](const net::HttpResponse &answer) {
             asio::post(self->strand, [self, key, answer] {
                 {
                     const std::lock_guard lock(self->mutex);
                     const json parsed = json::parse(answer.body, nullptr, false);
-                    if (answer.end != net::HttpEnd::Whole || answer.status != statusOk) {
+                    if (answer.outcome != net::HttpOutcome::Complete || answer.status != statusOk) {
                         self->countRefusal(answer.status, answer.body);
                     } else if (!parsed.is_object() || parsed.value("key", "") != key
                                || parsed.value("run", 0) != 1) {
--- a/lab/membersbench.cpp
+++ b/lab/membersbench.cpp
@@ -90,7 +90,7 @@
         this->routers[index].state.own = this->heartbeatOf(index);
         this->routers[index].state.random.seed(this->random());
         this->byId[this->routers[index].state.own.id] = index;
-        this->seeds.insert(this->routers[index].state.own.datagrams);
+        this->seeds.insert(this->routers[index].state.own.datagramEndpoint);
         this->queue.push({this->began + Duration{phase(this->random)}, ++this->number, index, index,
                           std::nullopt});
     }
@@ -107,16 +107,16 @@
 Heartbeat World::heartbeatOf(std::size_t index) const
 {
     Heartbeat heartbeat;
-    heartbeat.place = fmt::format("place-{}", index % this->options.places);
-    heartbeat.id = fmt::format("{}-router-{}", heartbeat.place, index);
+    heartbeat.dataCentre = fmt::format("place-{}", index % this->options.places);
+    heartbeat.id = fmt::format("{}-router-{}", heartbeat.dataCentre, index);
     const auto port = static_cast<std::uint16_t>(firstPort + 2 * index);
-    heartbeat.datagrams = {"10.11.12.13", port};
-    heartbeat.calls = {"10.11.12.13", static_cast<std::uint16_t>(port + 1)};
+    heartbeat.datagramEndpoint = {"10.11.12.13", port};
+    heartbeat.rpcEndpoint = {"10.11.12.13", static_cast<std::uint16_t>(port + 1)};
     heartbeat.incarnation = this->options.seed + index + 1;
     heartbeat.catalogueVersion = 1'000'000;
-    heartbeat.catalogueAge = 0;
-    heartbeat.vmStamp = 1'700'000'000'000;
-    heartbeat.vmDigest = 1;
+    heartbeat.catalogueAgeMilliseconds = 0;
+    heartbeat.vmListVersion = 1'700'000'000'000;
+    heartbeat.vmListDigest = 1;
     return heartbeat;
 }
 
@@ -237,7 +237,7 @@
             continue;
         }
         if (delivery.message) {
-            const Endpoint from = this->routers[delivery.from].state.own.datagrams;
+            const Endpoint from = this->routers[delivery.from].state.own.datagramEndpoint;
             this->act(delivery.to, swimReceive(router.state, this->options.settings,
                                                *delivery.message, from, now));
             continue;
--- a/lab/memorystore.cpp
+++ b/lab/memorystore.cpp
@@ -2,7 +2,7 @@
 
 namespace plantainswitch::lab {
 
-StoreAnswer carryOut(MemoryStore &store, const StoreCall &call)
+StoreResponse carryOut(MemoryStore &store, const StoreCall &call)
 {
     MemoryStore::Object &object = store.objects[call.name];
     if (call.write && object.version == call.ifVersion) {
@@ -20,13 +20,13 @@
 {
     const std::string prefix = std::to_string(slice);
     const nlohmann::json none = nlohmann::json::array();
-    for (std::uint64_t number = 0; number < limits.segments; ++number) {
+    for (std::uint64_t number = 0; number < limits.maxSegments; ++number) {
         store.objects[prefix + "-g" + std::to_string(number)] = {
             ++store.versions,
             {{"number", number}, {"time", 1U}, {"horizon", 0U}, {"entries", none}}};
     }
-    const std::uint64_t first = limits.segments * limits.segmentPositions;
-    for (std::uint64_t offset = 0; offset < limits.segmentPositions / 2; ++offset) {
+    const std::uint64_t first = limits.maxSegments * limits.positionsPerSegment;
+    for (std::uint64_t offset = 0; offset < limits.positionsPerSegment / 2; ++offset) {
         store.objects[prefix + "-p" + std::to_string(offset)] = {
             ++store.versions,
             {{"position", first + offset},
--- a/lab/memorystore.h
+++ b/lab/memorystore.h
@@ -23,7 +23,7 @@
 };
 
 /// Carries \a call out: a read, or a write if its condition holds.
-[[nodiscard]] StoreAnswer carryOut(MemoryStore &store, const StoreCall &call);
+[[nodiscard]] StoreResponse carryOut(MemoryStore &store, const StoreCall &call);
 
 /// Puts a slice's log there as it is after hours at full pace: all segments, and half a segment of
 /// positions. Its entries are left out to save memory, so it costs a loader calls but few bytes.
--- a/lab/orderrecord.cpp
+++ b/lab/orderrecord.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-Sending OrderRecord::send(std::uint32_t order, std::size_t router)
+SendAttempt OrderRecord::send(std::uint32_t order, std::size_t router)
 {
     const Deployment &deployment = this->fleet.deployment;
     net::HttpCall call;
@@ -43,17 +43,18 @@
                     {"idempotency-key", keyOf(order)},
                     {"x-non-idempotent", "true"}};
     call.body = keyOf(order);
-    const net::HttpAnswer answer = this->fleet.call(router, std::move(call));
-    Sending sending;
+    const net::HttpResponse answer = this->fleet.call(router, std::move(call));
+    SendAttempt sending;
     sending.order = order;
     const auto id = answer.headers.find("x-request-id");
     sending.request = id == answer.headers.end() ? "" : id->second;
     const auto json = nlohmann::json::parse(answer.body, nullptr, false);
-    sending.answered = answer.end == net::HttpEnd::Whole && answer.status == statusOk;
+    sending.answered = answer.outcome == net::HttpOutcome::Complete && answer.status == statusOk;
     if (sending.answered && json.is_object()) {
         sending.answeredKey = json.value("key", "");
     }
-    if (answer.end == net::HttpEnd::Whole && json.is_object() && json.contains("error")) {
+    if (answer.outcome == net::HttpOutcome::Complete && json.is_object()
+        && json.contains("error")) {
         sending.refusal = json["error"].value("kind", "");
         sending.refusedNotRun = json["error"].value("ran", "") == "no";
     }
@@ -62,7 +63,7 @@
     return sending;
 }
 
-std::vector<Sending> OrderRecord::sendings() const
+std::vector<SendAttempt> OrderRecord::sendings() const
 {
     const std::lock_guard lock(this->mutex);
     return this->sent;
@@ -76,7 +77,7 @@
         const std::string request = run.attempt.substr(0, run.attempt.rfind('.'));
         history.push_back({HistoryKind::Ran, orderOf(run.key), attempts.numberOf(request), 0});
     }
-    for (const Sending &each : this->sendings()) {
+    for (const SendAttempt &each : this->sendings()) {
         if (each.answered) {
             history.push_back({HistoryKind::Answered, each.order, 0, orderOf(each.answeredKey)});
         } else if (each.refusedNotRun) {
--- a/lab/orderrecord.h
+++ b/lab/orderrecord.h
@@ -11,7 +11,7 @@
 namespace plantainswitch::lab {
 
 /// A sending of an order as its caller saw it.
-struct Sending
+struct SendAttempt
 {
     std::uint32_t order = 0;
     std::string request;
@@ -31,15 +31,15 @@
     {}
 
     /// Sends \a order to \a router, with the order's number as key. Safe from any thread.
-    Sending send(std::uint32_t order, std::size_t router);
-    [[nodiscard]] std::vector<Sending> sendings() const;
+    SendAttempt send(std::uint32_t order, std::size_t router);
+    [[nodiscard]] std::vector<SendAttempt> sendings() const;
     /// \returns what ran and what callers heard, for the checkers.
     [[nodiscard]] History history() const;
 
 private:
     Fleet &fleet;
     mutable std::mutex mutex;
-    std::vector<Sending> sent;
+    std::vector<SendAttempt> sent;
 };
 
 /// \returns the first violation by orders that \a history shows, or nothing.
--- a/lab/platformstandin.cpp
+++ b/lab/platformstandin.cpp
@@ -25,9 +25,9 @@
 constexpr std::uint64_t longestWait = 30'000;
 
 using nlohmann::json;
-using ReplyPointer = std::shared_ptr<net::HttpReply>;
+using ReplyPointer = std::shared_ptr<net::HttpResponder>;
 
-void respond(net::HttpReply &reply, int status, const json &body)
+void respond(net::HttpResponder &reply, int status, const json &body)
 {
     reply.respond(status, {{"content-type", "application/json"}}, body.dump());
 }
@@ -106,7 +106,7 @@
     void wakeWatches();
     /// Loses the calls that wait.
     void swallowWatches();
-    void serveVmList(const net::HttpRequest &request, net::HttpReply &reply);
+    void serveVmList(const net::HttpRequest &request, net::HttpResponder &reply);
     [[nodiscard]] json visibleVms(TimePoint now) const;
 
     asio::io_context &context;
@@ -293,7 +293,7 @@
     return list;
 }
 
-void PlatformStandIn::State::serveVmList(const net::HttpRequest &request, net::HttpReply &reply)
+void PlatformStandIn::State::serveVmList(const net::HttpRequest &request, net::HttpResponder &reply)
 {
     std::string list = this->visibleVms(std::chrono::steady_clock::now()).dump();
     const std::string tag = '"' + std::to_string(hashOf(list)) + '"';
@@ -320,7 +320,7 @@
         VmChange change{std::chrono::steady_clock::now(), {}, true};
         change.vm.id = parts[1];
         this->vmChanges.push_back(change);
-    } else if (auto vm = net::vmOf(json::parse(request.body, nullptr, false))) {
+    } else if (auto vm = net::parseVm(json::parse(request.body, nullptr, false))) {
         this->vmChanges.push_back({std::chrono::steady_clock::now(), *vm, false});
     } else {
         respond(*reply, statusBad, {{"error", "not a VM"}});
--- a/lab/policychoice.cpp
+++ b/lab/policychoice.cpp
@@ -18,9 +18,9 @@
 std::vector<UpstreamId> permittedEngines(BenchWorld &world, const TraceRequest &request,
                                          const std::vector<UpstreamId> &avoid)
 {
-    const Admission admission = world.admissionOf(request.workspace);
+    const Authorization admission = world.admissionOf(request.workspace);
     std::vector<UpstreamId> result;
-    for (const std::string &place : admission.places) {
+    for (const std::string &place : admission.dataCentres) {
         for (const Upstream &upstream : world.routers[request.router]->upstreams.ready(
                  admission.service, place, world.clock.now())) {
             if (std::find(avoid.begin(), avoid.end(), upstream.shortId) == avoid.end()) {
@@ -84,8 +84,8 @@
     }
     for (const Shard &shard : plan->shards) {
         std::vector<Candidate> candidates;
-        for (const UpstreamId id : readyOf(world.routers[request.router]->upstreams, shard,
-                                           world.service.shards, world.clock.now())) {
+        for (const UpstreamId id : readyUpstreamsOf(world.routers[request.router]->upstreams, shard,
+                                                    world.service.shards, world.clock.now())) {
             if (std::find(avoid.begin(), avoid.end(), id) == avoid.end()) {
                 candidates.push_back({id, 1.0});
             }
@@ -100,7 +100,7 @@
 
 bool keepsIn(const BenchWorld &world, std::uint32_t router, const Shard &shard)
 {
-    const auto member = keeperOf(shard, world.routers[router]->active);
+    const auto member = coordinatorOf(shard, world.routers[router]->active);
     return member && world.routerIndex.at(member->id) == router;
 }
 
@@ -116,14 +116,16 @@
     for (const Shard &shard : plan->shards) {
         std::uint32_t keeper = request.router;
         if (!local) {
-            const auto member = keeperOf(shard, router.active);
+            const auto member = coordinatorOf(shard, router.active);
             keeper = member ? world.routerIndex.at(member->id) : request.router;
         }
         BenchRouter &keeping = *world.routers[keeper];
-        const SlotAsk ask{router.nextAsk++, shard, chatHashOf(request), chatHashOf(request), avoid};
-        GrantView view;
+        const SlotRequest ask{router.nextAsk++, shard, chatHashOf(request), chatHashOf(request),
+                              avoid};
+        GrantContext view;
         view.settings = world.bound();
-        view.ready = readyOf(keeping.upstreams, shard, world.service.shards, world.clock.now());
+        view.readyEngines =
+            readyUpstreamsOf(keeping.upstreams, shard, world.service.shards, world.clock.now());
         const SlotReply reply =
             keeping.keeper.grant(request.router, ask, std::move(view),
                                  local || keepsIn(world, keeper, shard), world.clock.now());
@@ -134,8 +136,8 @@
         if (reply.verdict == SlotVerdict::Granted) {
             auto &held = router.held[shardIdOf(shard)];
             held.first = shard;
-            held.second[ask.askId] = reply.upstream;
-            return BenchChoice{reply.upstream, keeper, shardIdOf(shard), ask.askId, true};
+            held.second[ask.requestId] = reply.upstream;
+            return BenchChoice{reply.upstream, keeper, shardIdOf(shard), ask.requestId, true};
         }
     }
     return std::nullopt;
@@ -180,14 +182,14 @@
             std::set<std::uint32_t> targets;
             Shard shard = summary.shard;
             for (shard.number = 0; shard.number < world.service.shards; ++shard.number) {
-                if (const auto keeper = keeperOf(shard, router.active)) {
+                if (const auto keeper = coordinatorOf(shard, router.active)) {
                     targets.insert(world.routerIndex.at(keeper->id));
                 }
             }
             targets.erase(index);
             for (const std::uint32_t target : targets) {
                 world.send(summary);
-                world.routers[target]->keeper.takeSummary(summary, world.clock.now());
+                world.routers[target]->keeper.receiveSummary(summary, world.clock.now());
             }
         }
     }
@@ -201,9 +203,9 @@
     const TimePoint now = world.clock.now();
     for (const auto &router : world.routers) {
         for (const auto &[to, hints] :
-             router->keeper.hints(router->self.datagrams, router->active, now)) {
+             router->keeper.takeHints(router->self.datagramEndpoint, router->active, now)) {
             world.send(hints);
-            world.routers[to.port]->keeper.takeHints(hints, router->self.datagrams, now);
+            world.routers[to.port]->keeper.receiveHints(hints, router->self.datagramEndpoint, now);
         }
     }
 }
@@ -217,20 +219,21 @@
     for (std::uint32_t index = 0; index < world.routers.size(); ++index) {
         BenchRouter &router = *world.routers[index];
         for (const auto &[id, entry] : router.held) {
-            const auto keeper = keeperOf(entry.first, router.active);
+            const auto keeper = coordinatorOf(entry.first, router.active);
             if (!keeper || keeper->id == router.self.id) {
                 continue;
             }
-            KeeperTable &table = world.routers[world.routerIndex.at(keeper->id)]->keeper;
+            ShardCoordinator &table = world.routers[world.routerIndex.at(keeper->id)]->keeper;
             const SlotDigest digest = digestOf(id, entry.second, router.nextAsk);
             world.send(digest);
-            if (!table.differs(index, digest, now)) {
+            if (!table.checkDigest(index, digest, now)) {
                 continue;
             }
-            world.send(SlotListAsk{id});
-            for (const SlotList &list : listsOf(entry.first, index, entry.second, router.nextAsk)) {
+            world.send(SlotListRequest{id});
+            for (const SlotList &list :
+                 splitIntoLists(entry.first, index, entry.second, router.nextAsk)) {
                 world.send(list);
-                table.takeList(index, list, now);
+                table.receiveList(index, list, now);
             }
         }
     }
--- a/lab/policysim.cpp
+++ b/lab/policysim.cpp
@@ -143,8 +143,8 @@
     void serve(const TraceRequest &request, const Run &run)
     {
         BenchEngine &engine = this->world.engines[run.engine];
-        const auto places = this->world.admissionOf(request.workspace).places;
-        if (std::find(places.begin(), places.end(), engine.vm.place) == places.end()) {
+        const auto places = this->world.admissionOf(request.workspace).dataCentres;
+        if (std::find(places.begin(), places.end(), engine.vm.dataCentre) == places.end()) {
             ++this->result.placeViolations;
         }
         const auto &blocks = this->trace.chats[request.chat];
@@ -186,8 +186,8 @@
         }
         this->world.routers[choice.keeper]->keeper.release(router, release);
         this->world.routers[router]->held[choice.shard].second.erase(choice.askId);
-        const auto present = keeperOf(this->world.routers[router]->held[choice.shard].first,
-                                      this->world.routers[router]->active);
+        const auto present = coordinatorOf(this->world.routers[router]->held[choice.shard].first,
+                                           this->world.routers[router]->active);
         const std::uint32_t now = present ? this->world.routerIndex.at(present->id) : choice.keeper;
         if (now != choice.keeper && this->options.policy != "local-bound") {
             this->world.send(release);
@@ -265,7 +265,7 @@
     {
         PoolLoad pool;
         for (const BenchEngine &engine : this->world.engines) {
-            if (engine.vm.place == place && engine.up && this->isListed(engine.id)) {
+            if (engine.vm.dataCentre == place && engine.up && this->isListed(engine.id)) {
                 pool.total += engine.load;
                 pool.most = std::max(pool.most, engine.load);
                 ++pool.count;
@@ -283,7 +283,7 @@
     /// \a engine has just got a request; the bound was set by the load before it.
     void checkBound(const BenchEngine &engine)
     {
-        const PoolLoad pool = this->poolLoad(engine.vm.place);
+        const PoolLoad pool = this->poolLoad(engine.vm.dataCentre);
         if (this->now() >= this->warmUp
             && engine.load > loadBound(this->world.bound(), pool.total - 1, pool.count)) {
             ++this->result.boundViolations;
@@ -299,7 +299,7 @@
         }
         std::vector<Heartbeat> fewer = all;
         for (std::uint32_t place = 0; place < this->options.places; ++place) {
-            const auto keeper = keeperOf({"model", BenchWorld::placeName(place), 0}, all);
+            const auto keeper = coordinatorOf({"model", BenchWorld::placeName(place), 0}, all);
             std::erase_if(fewer, [&keeper](const Heartbeat &member) {
                 return keeper && member.id == keeper->id;
             });
--- a/lab/policyworld.cpp
+++ b/lab/policyworld.cpp
@@ -27,8 +27,8 @@
     for (std::uint32_t index = 0; index < options.routers; ++index) {
         auto router = std::make_unique<BenchRouter>();
         router->self.id = "router-" + std::to_string(index);
-        router->self.place = placeName(index % options.places);
-        router->self.datagrams.port = static_cast<std::uint16_t>(index);
+        router->self.dataCentre = placeName(index % options.places);
+        router->self.datagramEndpoint.port = static_cast<std::uint16_t>(index);
         members.push_back(router->self);
         this->routerIndex[router->self.id] = index;
         this->routers.push_back(std::move(router));
@@ -52,7 +52,7 @@
     engine.vm.id = "engine-" + std::to_string(index) + "-" + std::to_string(engine.generation);
     engine.vm.role = VmRole::Engine;
     engine.vm.service = "model";
-    engine.vm.place = placeName(static_cast<std::uint32_t>(index) % this->options.places);
+    engine.vm.dataCentre = placeName(static_cast<std::uint32_t>(index) % this->options.places);
     engine.id = upstreamIdOf(engine.vm.id);
     engine.cache = PrefixCache(engineCacheTokens);
     engine.load = 0;
@@ -68,7 +68,7 @@
     return result;
 }
 
-Admission BenchWorld::admissionOf(std::uint32_t workspace) const
+Authorization BenchWorld::admissionOf(std::uint32_t workspace) const
 {
     // Most workspaces may use all places, some all but the last, a few only the first.
     std::uint32_t permitted = this->options.places;
@@ -77,25 +77,25 @@
     } else if (workspace % classes == classes - 2 && permitted > 1) {
         --permitted;
     }
-    Admission admission;
+    Authorization admission;
     admission.workspace = "workspace-" + std::to_string(workspace);
     admission.service = "model";
     admission.serviceEntry = this->service;
     for (std::uint32_t place = 0; place < permitted; ++place) {
-        admission.places.push_back(placeName(place));
+        admission.dataCentres.push_back(placeName(place));
     }
     return admission;
 }
 
-BoundSettings BenchWorld::bound() const
+LoadBoundSettings BenchWorld::bound() const
 {
-    BoundSettings settings;
+    LoadBoundSettings settings;
     settings.capacity = this->service.engineCapacity;
     if (this->options.policy == "local-bound" || this->options.policy == "keeper-hash") {
-        settings.rule = ChooseRule::HashOrder;
-        settings.rememberedChats = 0;
+        settings.selectionRule = EngineSelectionRule::HashOrder;
+        settings.maxRememberedChats = 0;
     } else if (this->options.policy == "keeper-last") {
-        settings.rule = ChooseRule::HashOrder;
+        settings.selectionRule = EngineSelectionRule::HashOrder;
     }
     return settings;
 }
--- a/lab/policyworld.h
+++ b/lab/policyworld.h
@@ -33,7 +33,7 @@
     Heartbeat self;
     std::vector<Heartbeat> active;
     UpstreamTable upstreams;
-    KeeperTable keeper;
+    ShardCoordinator keeper;
     std::uint32_t nextAsk = 1;
     /// What the router holds, by shard.
     std::map<ShardId, std::pair<Shard, std::map<std::uint32_t, UpstreamId>>> held;
@@ -55,12 +55,12 @@
 {
     explicit BenchWorld(const PolicyOptions &options);
 
-    [[nodiscard]] Admission admissionOf(std::uint32_t workspace) const;
+    [[nodiscard]] Authorization admissionOf(std::uint32_t workspace) const;
     [[nodiscard]] static std::string placeName(std::uint32_t place);
     void renewEngine(std::size_t index);
     /// \returns the list of VMs as the platform would give it now.
     [[nodiscard]] std::vector<Vm> listOfVms() const;
-    [[nodiscard]] BoundSettings bound() const;
+    [[nodiscard]] LoadBoundSettings bound() const;
     /// Counts a datagram as control traffic.
     void send(const PeerBody &body);
 
--- a/lab/promptload.cpp
+++ b/lab/promptload.cpp
@@ -85,7 +85,7 @@
 class Player
 {
 public:
-    Player(const PromptLoad &load, const ChoicePolicy &policy)
+    Player(const PromptLoad &load, const SelectionPolicy &policy)
         : load(load)
         , policy(policy)
         , random(load.seed)
@@ -116,9 +116,9 @@
     {
         auto engine = std::make_shared<Engine>();
         engine->state.replica.id = "engine-" + std::to_string(this->nextEngine);
-        engine->state.replica.place =
+        engine->state.replica.dataCentre =
             "place-" + std::to_string(this->nextEngine % this->load.places);
-        engine->state.replica.slots = this->load.slots;
+        engine->state.replica.maxConcurrency = this->load.slots;
         ++this->nextEngine;
         this->engines.push_back(std::move(engine));
         this->refresh();
@@ -145,7 +145,7 @@
             this->runs.pop();
             if (!run.firstSeen) {
                 run.firstSeen = true;
-                run.engine->state.ownUnread -= run.uncached;
+                run.engine->state.ownPendingPrefill -= run.uncached;
                 this->runs.push(run);
                 continue;
             }
@@ -172,24 +172,24 @@
     void request(Time now)
     {
         const Prompt prompt = this->nextPrompt();
-        const std::vector<std::uint64_t> chain = chainOf(prompt);
+        const std::vector<std::uint64_t> chain = prefixHashesOf(prompt);
         const std::string place =
             "place-" + std::to_string(this->result.requests % this->load.places);
         const TimePoint at{std::chrono::duration_cast<Duration>(
             std::chrono::duration<double, std::milli>(now + 1.0))};
-        const auto choice = chooseUpstream(this->candidates, {place, 0, &prompt, chain, {}},
+        const auto choice = selectUpstream(this->candidates, {place, 0, &prompt, chain, {}},
                                            this->known, this->policy, at);
         if (!choice) {
             return;
         }
         const std::shared_ptr<Engine> engine = this->engines[choice->index];
         const Engine *const donor =
-            choice->copyFrom ? this->engines[*choice->copyFrom].get() : nullptr;
-        this->known.note(chain, lifeOf(engine->state.replica), at);
+            choice->transferSource ? this->engines[*choice->transferSource].get() : nullptr;
+        this->known.recordUse(chain, incarnationOf(engine->state.replica), at);
         this->start(now, *choice, prompt, chain, engine, donor);
     }
 
-    void start(Time now, const Choice &choice, const Prompt &prompt,
+    void start(Time now, const UpstreamSelection &choice, const Prompt &prompt,
                const std::vector<std::uint64_t> &chain, const std::shared_ptr<Engine> &engine,
                const Engine *donor)
     {
@@ -217,7 +217,7 @@
         this->result.copiedTokens += copied;
         UpstreamState &state = engine->state;
         state.ownRunning += 1;
-        state.ownUnread += choice.uncachedTokens;
+        state.ownPendingPrefill += choice.uncachedTokens;
         const Time begun = std::max(now, engine->readingUntil);
         engine->readingUntil = begun + read / readPerMillisecond
                                + (copied > 0 ? copySetup + copied / copiedPerMillisecond : 0.0);
@@ -259,12 +259,12 @@
     }
 
     PromptLoad load;
-    ChoicePolicy policy;
+    SelectionPolicy policy;
     std::mt19937_64 random;
     std::vector<std::shared_ptr<Engine>> engines;
     std::vector<UpstreamState *> candidates;
     std::uint32_t nextEngine = 0;
-    ChainMemory known;
+    PrefixIndex known;
     std::priority_queue<Run, std::vector<Run>, Later> runs;
     std::set<std::uint64_t> readBefore;
     std::vector<double> firstTokens;
@@ -273,7 +273,7 @@
 
 } // namespace
 
-PromptLoadResult playPromptLoad(const PromptLoad &load, const ChoicePolicy &policy)
+PromptLoadResult playPromptLoad(const PromptLoad &load, const SelectionPolicy &policy)
 {
     return Player(load, policy).play();
 }
--- a/lab/promptload.h
+++ b/lab/promptload.h
@@ -51,6 +51,7 @@
 
 /// Plays \a load in simulated time: one router that sees all of it chooses by chooseUpstream, and
 /// engines with an LRU memory read, copy and answer. Equal for equal arguments.
-[[nodiscard]] PromptLoadResult playPromptLoad(const PromptLoad &load, const ChoicePolicy &policy);
+[[nodiscard]] PromptLoadResult playPromptLoad(const PromptLoad &load,
+                                              const SelectionPolicy &policy);
 
 } // namespace plantainswitch::lab
--- a/lab/relaybench.cpp
+++ b/lab/relaybench.cpp
@@ -162,7 +162,7 @@
             takeEvents(*stream, bytes);
             return true;
         };
-        events.onEnd = [&, stream](net::HttpEnd, const std::string &) {
+        events.onEnd = [&, stream](net::HttpOutcome, const std::string &) {
             const std::lock_guard lock(mutex);
             samples.failed += stream->later.size() + 1 == latencyTokens ? 0 : 1;
             samples.first.insert(samples.first.end(), stream->first.begin(), stream->first.end());
@@ -259,7 +259,7 @@
         call.url = this->target.url + "/services/" + this->service + "/ping";
         call.headers = {{"authorization", "Bearer " + this->target.token}};
         call.body = "ping";
-        this->callers.client().fetch(std::move(call), [this](const net::HttpAnswer &answer) {
+        this->callers.client().fetch(std::move(call), [this](const net::HttpResponse &answer) {
             ++(answer.status == statusOk ? this->done : this->failed);
             if (std::chrono::steady_clock::now() < this->until) {
                 this->sendOne();
@@ -305,8 +305,8 @@
         net::HttpEvents events;
         events.onHeaders = [status](int code, const net::Headers &) { *status = code; };
         events.onData = [](std::string_view) { return true; };
-        events.onEnd = [&, status](net::HttpEnd how, const std::string &) {
-            failed += *status == statusOk && how == net::HttpEnd::Whole ? 0 : 1;
+        events.onEnd = [&, status](net::HttpOutcome how, const std::string &) {
+            failed += *status == statusOk && how == net::HttpOutcome::Complete ? 0 : 1;
             if (--left == 0) {
                 end.set_value();
             }
