--- a/lab/scalemeasures.cpp
+++ b/lab/scalemeasures.cpp
@@ -93,14 +93,14 @@
     for (const std::size_t routers : this->sizes({52, 300, 600, 900, 1200})) {
         const std::size_t before = heapInUse();
         SwimState state;
-        describeSelf(state, heartbeatOf(0));
+        swimUpdateSelf(state, heartbeatOf(0));
         TimePoint now{Seconds{1}};
         const auto tellAll = [&] {
             for (std::size_t number = 1; number < routers; ++number) {
                 SwimMessage message;
-                message.from = heartbeatOf(number);
-                sink =
-                    swimReceive(state, settings, message, message.from.datagrams, now).sends.size();
+                message.sender = heartbeatOf(number);
+                sink = swimReceive(state, settings, message, message.sender.datagramEndpoint, now)
+                           .sends.size();
             }
         };
         tellAll();
@@ -108,15 +108,16 @@
         this->add("members.memory", "routers", "bytes", at,
                   static_cast<double>(heapInUse() - before));
         SwimMessage beat;
-        beat.from = heartbeatOf(1);
-        this->add(
-            "members.receive", "routers", "ns", at, timeOf(this->options, rounds, [&](std::size_t) {
-                sink = swimReceive(state, settings, beat, beat.from.datagrams, now).sends.size();
-            }));
+        beat.sender = heartbeatOf(1);
+        this->add("members.receive", "routers", "ns", at,
+                  timeOf(this->options, rounds, [&](std::size_t) {
+                      sink = swimReceive(state, settings, beat, beat.sender.datagramEndpoint, now)
+                                 .sends.size();
+                  }));
         constexpr std::size_t ticksOfProbe = 5;
         this->add("members.tick", "routers", "ns", at,
                   timeOf(this->options, ticksOfProbe, [&](std::size_t) {
-                      now += settings.period / ticksOfProbe;
+                      now += settings.probePeriod / ticksOfProbe;
                       sink = swimTick(state, settings, {}, now).sends.size();
                   }));
         this->addListing(routers);
@@ -127,9 +128,9 @@
 {
     constexpr std::size_t rounds = 200;
     MemberTable table;
-    table.begin(heartbeatOf(0), 1);
+    table.initialize(heartbeatOf(0), 1);
     for (std::size_t number = 1; number < routers; ++number) {
-        table.hear(heartbeatOf(number), TimePoint{});
+        table.receiveHeartbeat(heartbeatOf(number), TimePoint{});
     }
     const auto at = static_cast<double>(routers);
     this->add("members.list-active", "routers", "ns", at,
@@ -138,7 +139,7 @@
     this->add("members.keeper-of-shard", "routers", "ns", at,
               timeOf(this->options, rounds, [&](std::size_t call) {
                   const Shard shard{modelName, numbered("place", call % placeCount), 0};
-                  sink = keeperOf(shard, *active)->id.size();
+                  sink = coordinatorOf(shard, *active)->id.size();
               }));
 }
 
@@ -151,11 +152,11 @@
         for (std::size_t number = 0; number < engines; ++number) {
             ready.push_back(upstreamIdOf(numbered("engine", number)));
         }
-        BoundSettings bound;
+        LoadBoundSettings bound;
         bound.capacity = held;
         // The memory of chats is bounded by its own number, not by the slots.
-        bound.rememberedChats = 0;
-        const GrantView view{ready, bound, false};
+        bound.maxRememberedChats = 0;
+        const GrantContext view{ready, bound, false};
         ShardState state;
         const Shard shard{modelName, placeName, 0};
         const std::size_t before = heapInUse();
@@ -177,9 +178,9 @@
 
 void Measurement::upstreams()
 {
-    Admission admission;
+    Authorization admission;
     admission.service = modelName;
-    admission.places = {numbered("place", 0), numbered("place", 1)};
+    admission.dataCentres = {numbered("place", 0), numbered("place", 1)};
     admission.serviceEntry.shards = 8;
     for (const std::size_t engines : this->sizes({400, 2500, 5000, 10'000})) {
         std::vector<Vm> vms;
@@ -200,11 +201,11 @@
                       sink = planPlacement(admission, call, table, TimePoint{Seconds{1}}, reason)
                                  ->shards.size();
                   }));
-        const Shard shard{modelName, admission.places.front(), 0};
+        const Shard shard{modelName, admission.dataCentres.front(), 0};
         this->add("keeper.ready-engines", "engines", "ns", at,
                   timeOf(this->options, 100, [&](std::size_t) {
-                      sink = readyOf(table, shard, admission.serviceEntry.shards,
-                                     TimePoint{Seconds{1}})
+                      sink = readyUpstreamsOf(table, shard, admission.serviceEntry.shards,
+                                              TimePoint{Seconds{1}})
                                  .size();
                   }));
     }
@@ -227,13 +228,13 @@
                   }));
         this->add("catalogue.pull-one-edit", "workspaces", "ns", at,
                   timeOf(this->options, 20,
-                         [&](std::size_t) { sink = table.entriesAbove(version - 1).size(); }));
+                         [&](std::size_t) { sink = table.entriesSince(version - 1).size(); }));
         const auto view = table.view();
         Reason reason;
         const std::string token = std::get<Workspace>(*workspaceOf(workspaces / 2, 1).body).token;
         this->add("catalogue.admit", "workspaces", "ns", at,
                   timeOf(this->options, 2000, [&](std::size_t) {
-                      sink = admit(*view, token, modelName, Duration{}, reason)->places.size();
+                      sink = admit(*view, token, modelName, Duration{}, reason)->dataCentres.size();
                   }));
     }
 }
@@ -296,8 +297,8 @@
     }
     for (const std::size_t letters : this->sizes({8, 32, 64})) {
         SwimMessage beat;
-        beat.from = heartbeatOf(1);
-        beat.from.id.assign(letters, 'r');
+        beat.sender = heartbeatOf(1);
+        beat.sender.id.assign(letters, 'r');
         this->add("codec.heartbeat-both-ways", "letters of the id", "ns",
                   static_cast<double>(letters),
                   timeOf(this->options, rounds, [&](std::size_t call) {
@@ -316,14 +317,15 @@
         const std::string text = list.dump();
         const auto at = static_cast<double>(vms);
         this->add("platform.vm-list-size", "vms", "bytes", at, static_cast<double>(text.size()));
-        this->add("platform.read-vm-list", "vms", "ns", at,
-                  timeOf(this->options, 1, [&](std::size_t) { sink = net::vmsOf(text)->size(); }));
+        this->add(
+            "platform.read-vm-list", "vms", "ns", at,
+            timeOf(this->options, 1, [&](std::size_t) { sink = net::parseVmList(text)->size(); }));
         net::VmListReader reader;
-        net::HttpAnswer answer{net::HttpEnd::Whole, 200, {}, text, {}};
-        sink = reader.take(answer)->size();
+        net::HttpResponse answer{net::HttpOutcome::Complete, 200, {}, text, {}};
+        sink = reader.read(answer)->size();
         this->add(
             "platform.read-vm-list-again", "vms", "ns", at,
-            timeOf(this->options, 1, [&](std::size_t) { sink = reader.take(answer)->size(); }));
+            timeOf(this->options, 1, [&](std::size_t) { sink = reader.read(answer)->size(); }));
     }
 }
 
@@ -334,7 +336,7 @@
     std::size_t bytes = 0;
     std::uint64_t version = 0;
     TimePoint now{Seconds{1}};
-    for (std::size_t done = 0; done < count; now += log.limits.pace) {
+    for (std::size_t done = 0; done < count; now += log.limits.writeInterval) {
         for (std::size_t each = 0; each < batch && log.pending.size() < batch; ++each) {
             const std::uint64_t nonce = ++version;
             enqueueClaim(log, {{{hashOf("key", nonce), nonce}, 7, nonce, nonce}, 0});
@@ -344,12 +346,12 @@
         if (!call) {
             continue;
         }
-        StoreAnswer answer{StoreOutcome::NotFound, 0, nullptr};
+        StoreResponse answer{StoreOutcome::NotFound, 0, nullptr};
         if (call->write) {
             bytes += call->body.dump().size();
             answer = {StoreOutcome::Ok, ++version, call->body};
         }
-        done += takeStoreAnswer(log, answer, now).size();
+        done += handleStoreResponse(log, answer, now).size();
     }
     return bytes;
 }
--- a/lab/scalemessages.cpp
+++ b/lab/scalemessages.cpp
@@ -24,9 +24,9 @@
     const std::uint64_t content = hashOf("body");
     SlotRelease release{shardIdOf(shard), {askId}};
     SwimMessage swim;
-    swim.from = heartbeatOf(1);
-    const SlotAsk ask{askId, shard, chat, content, {}};
-    SlotAsk waiting = ask;
+    swim.sender = heartbeatOf(1);
+    const SlotRequest ask{askId, shard, chat, content, {}};
+    SlotRequest waiting = ask;
     waiting.waitMilliseconds = 2000;
     waiting.workspace = hashOf("workspace");
     waiting.weight = 4;
@@ -38,12 +38,12 @@
         {"slot-reply", encodedSize(SlotReply{askId, SlotVerdict::Granted, upstream})},
         {"slot-release-of-1", encodedSize(release)}};
     constexpr std::size_t severalReleases = 8;
-    release.askIds.assign(severalReleases, askId);
+    release.requestIds.assign(severalReleases, askId);
     sizes.push_back({"slot-release-of-8", encodedSize(release)});
-    swim.updates.assign(SwimSettings{}.updatesInMessage, {heartbeatOf(2), MemberState::Alive});
+    swim.updates.assign(SwimSettings{}.maxUpdatesPerMessage, {heartbeatOf(2), MemberState::Alive});
     sizes.push_back({"swim-ping-with-8-rumours", encodedSize(swim)});
     const Claim claim{{content, chat}, upstream, upstream, content};
-    sizes.push_back({"claim-ask", encodedSize(ClaimAsk{claim, 1'790'000'000'000})});
+    sizes.push_back({"claim-ask", encodedSize(ClaimRequest{claim, 1'790'000'000'000})});
     sizes.push_back(
         {"claim-reply", encodedSize(ClaimReply{claim.nonce, ClaimVerdict::Granted, {}})});
     sizes.push_back({"claim-release", encodedSize(ClaimRelease{claim.id, claim.nonce})});
--- a/lab/scaleobjects.cpp
+++ b/lab/scaleobjects.cpp
@@ -15,17 +15,17 @@
 {
     constexpr std::uint64_t incarnation = 1'790'000'000'000'000ULL;
     Heartbeat heartbeat;
-    heartbeat.place = numbered("place", number % placeCount);
-    heartbeat.id = numbered(heartbeat.place + "-router", number);
+    heartbeat.dataCentre = numbered("place", number % placeCount);
+    heartbeat.id = numbered(heartbeat.dataCentre + "-router", number);
     const std::string host = "10.20." + std::to_string(number % placeCount) + "."
                              + std::to_string(1 + number / placeCount);
-    heartbeat.datagrams = {host, 8082};
-    heartbeat.calls = {host, 8083};
+    heartbeat.datagramEndpoint = {host, 8082};
+    heartbeat.rpcEndpoint = {host, 8083};
     heartbeat.incarnation = incarnation + number;
     heartbeat.catalogueVersion = 42'000;
-    heartbeat.catalogueAge = 300;
-    heartbeat.vmStamp = incarnation / 1000;
-    heartbeat.vmDigest = static_cast<std::uint32_t>(hashOf("digest"));
+    heartbeat.catalogueAgeMilliseconds = 300;
+    heartbeat.vmListVersion = incarnation / 1000;
+    heartbeat.vmListDigest = static_cast<std::uint32_t>(hashOf("digest"));
     return heartbeat;
 }
 
@@ -34,7 +34,7 @@
     Vm vm;
     vm.id = numbered("engine", number);
     vm.service = modelName;
-    vm.place = places == 1 ? placeName : numbered("place", number % places);
+    vm.dataCentre = places == 1 ? placeName : numbered("place", number % places);
     vm.endpoint = {"10.30.1.17", 9000};
     return vm;
 }
--- a/lab/servicestandin.cpp
+++ b/lab/servicestandin.cpp
@@ -72,7 +72,7 @@
 namespace {
 
 void serveOrder(const std::string &replica, RunCounts &counts, ServiceOrders &orders,
-                const net::HttpRequest &request, const std::shared_ptr<net::HttpReply> &reply)
+                const net::HttpRequest &request, const std::shared_ptr<net::HttpResponder> &reply)
 {
     constexpr int statusOk = 200;
     constexpr int statusUnavailable = 503;
@@ -112,7 +112,7 @@
     : server(std::make_unique<net::HttpServer>(
         context, net::HttpServerOptions{vm.endpoint.host, vm.endpoint.port},
         [counts = std::move(counts), orders = std::move(orders), id = vm.id](
-            const net::HttpRequest &request, const std::shared_ptr<net::HttpReply> &reply) {
+            const net::HttpRequest &request, const std::shared_ptr<net::HttpResponder> &reply) {
             serveOrder(id, *counts, *orders, request, reply);
         }))
 {}
--- a/net/httpclient.cpp
+++ b/net/httpclient.cpp
@@ -22,14 +22,14 @@
     static_cast<void>(once);
 }
 
-HttpEnd endOf(CURLcode code, long requestBytes) noexcept
+HttpOutcome endOf(CURLcode code, long requestBytes) noexcept
 {
     if (code == CURLE_OK) {
-        return HttpEnd::Whole;
+        return HttpOutcome::Complete;
     }
     const bool neverConnected = code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST
                                 || (code == CURLE_OPERATION_TIMEDOUT && requestBytes == 0);
-    return neverConnected ? HttpEnd::NotConnected : HttpEnd::Broken;
+    return neverConnected ? HttpOutcome::NotConnected : HttpOutcome::Broken;
 }
 
 } // namespace
@@ -119,7 +119,7 @@
         if (const auto state = this->owner.lock()) {
             asio::post(state->executor(), [state, self = this->shared_from_this()] {
                 state->remove(self);
-                self->finish(HttpEnd::Cancelled, "cancelled");
+                self->finish(HttpOutcome::Cancelled, "cancelled");
             });
         }
     }
@@ -140,7 +140,7 @@
     /// Makes the easy handle; from now on \a heard hears of the exchange.
     void prepare(HttpEvents heard);
     void complete(CURLcode code);
-    void finish(HttpEnd end, const std::string &detail)
+    void finish(HttpOutcome end, const std::string &detail)
     {
         if (this->finished) {
             return;
@@ -188,11 +188,11 @@
     curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS,
                      static_cast<long>(this->call.connectTimeout.count()));
     curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS,
-                     static_cast<long>(this->call.wholeTimeout.count()));
-    if (this->call.silenceTimeout.count() > 0) {
+                     static_cast<long>(this->call.totalTimeout.count()));
+    if (this->call.idleTimeout.count() > 0) {
         curl_easy_setopt(handle, CURLOPT_LOW_SPEED_LIMIT, 1L);
         curl_easy_setopt(handle, CURLOPT_LOW_SPEED_TIME,
-                         static_cast<long>(this->call.silenceTimeout.count()));
+                         static_cast<long>(this->call.idleTimeout.count()));
     }
     if (this->call.freshConnection) {
         curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, 1L);
@@ -426,10 +426,10 @@
     return exchange;
 }
 
-std::shared_ptr<HttpExchange> HttpClient::fetch(HttpCall call, std::function<void(HttpAnswer)> done,
-                                                std::size_t largest)
+std::shared_ptr<HttpExchange>
+HttpClient::fetch(HttpCall call, std::function<void(HttpResponse)> done, std::size_t largest)
 {
-    auto answer = std::make_shared<HttpAnswer>();
+    auto answer = std::make_shared<HttpResponse>();
     HttpEvents events;
     events.onHeaders = [answer](int status, const Headers &headers) {
         answer->status = status;
@@ -444,9 +444,9 @@
         answer->body.append(bytes);
         return true;
     };
-    events.onEnd = [answer, tooLarge, done = std::move(done)](HttpEnd end,
+    events.onEnd = [answer, tooLarge, done = std::move(done)](HttpOutcome end,
                                                               const std::string &detail) {
-        answer->end = *tooLarge ? HttpEnd::Broken : end;
+        answer->outcome = *tooLarge ? HttpOutcome::Broken : end;
         answer->detail = *tooLarge ? "the answer is too large" : detail;
         done(std::move(*answer));
     };
--- a/net/httpclient.h
+++ b/net/httpclient.h
@@ -13,9 +13,9 @@
 namespace plantainswitch::net {
 
 /// How an exchange with a server ended.
-enum class HttpEnd : std::uint8_t {
+enum class HttpOutcome : std::uint8_t {
     /// The whole answer came.
-    Whole,
+    Complete,
     /// No connection came about: the request can't have reached the server.
     NotConnected,
     /// The connection broke or timed out after the request may have been sent.
@@ -33,9 +33,9 @@
     std::string body;
     std::chrono::milliseconds connectTimeout{1000};
     /// Longest time without a byte; 0: none.
-    std::chrono::seconds silenceTimeout{0};
+    std::chrono::seconds idleTimeout{0};
     /// Longest time for the whole exchange; 0: none.
-    std::chrono::milliseconds wholeTimeout{0};
+    std::chrono::milliseconds totalTimeout{0};
     /// Take a fresh connection. libcurl silently sends a request again when a reused connection
     /// turns out to be closed, which would run a non-idempotent request twice; on a fresh
     /// connection it never does.
@@ -50,7 +50,7 @@
     /// Bytes of the body; false pauses the transfer until resume(), which hands these again.
     std::function<bool(std::string_view bytes)> onData;
     /// Exactly once, as the last.
-    std::function<void(HttpEnd end, const std::string &detail)> onEnd;
+    std::function<void(HttpOutcome end, const std::string &detail)> onEnd;
 };
 
 /// A running exchange.
@@ -63,9 +63,9 @@
 };
 
 /// A whole answer, for short calls.
-struct HttpAnswer
+struct HttpResponse
 {
-    HttpEnd end = HttpEnd::Broken;
+    HttpOutcome outcome = HttpOutcome::Broken;
     int status = 0;
     Headers headers;
     std::string body;
@@ -84,7 +84,7 @@
     /// Starts an exchange.
     std::shared_ptr<HttpExchange> start(HttpCall call, HttpEvents events);
     /// Fetches a whole answer of at most \a largest bytes.
-    std::shared_ptr<HttpExchange> fetch(HttpCall call, std::function<void(HttpAnswer)> done,
+    std::shared_ptr<HttpExchange> fetch(HttpCall call, std::function<void(HttpResponse)> done,
                                         std::size_t largest = 16 << 20);
 
     class State;
--- a/net/httpserver.cpp
+++ b/net/httpserver.cpp
@@ -120,7 +120,7 @@
     return fmt::format("{:x}\r\n{}\r\n", bytes.size(), bytes);
 }
 
-class Reply final : public HttpReply, public std::enable_shared_from_this<Reply>
+class Reply final : public HttpResponder, public std::enable_shared_from_this<Reply>
 {
 public:
     Reply(restinio::request_handle_t request, std::shared_ptr<OpenReplies> replies,
@@ -198,7 +198,7 @@
         this->finishStream(false);
     }
 
-    void onGone(std::function<void()> callback) override
+    void onDisconnect(std::function<void()> callback) override
     {
         const std::lock_guard lock(this->mutex);
         this->gone = std::move(callback);
@@ -322,7 +322,7 @@
         result.headers.emplace(lowerCase(field.name()), field.value());
     });
     result.body = request->body();
-    result.excess = excessOf(request->header());
+    result.oversizedPart = excessOf(request->header());
     return result;
 }
 
@@ -352,13 +352,13 @@
 {
     const auto replies = this->state->replies;
     const auto standing = this->state->standing;
-    auto onRequest = [replies, standing, most = options.mostConnections,
+    auto onRequest = [replies, standing, most = options.maxConnections,
                       handler = std::move(handler)](const restinio::request_handle_t &request) {
         auto reply = std::make_shared<Reply>(request, replies, standing);
         standing->lastRequest = std::chrono::steady_clock::now().time_since_epoch().count();
         replies->add(request->connection_id(), reply);
         HttpRequest incoming = requestOf(request);
-        incoming.crowded = replies->connections > most;
+        incoming.connectionLimitExceeded = replies->connections > most;
         handler(std::move(incoming), std::move(reply));
         return restinio::request_accepted();
     };
@@ -383,7 +383,7 @@
                                               .max_field_name_size(mostParsedBytes)
                                               .max_field_value_size(mostParsedBytes)
                                               .max_field_count(mostParsedHeaders)
-                                              .max_body_size(options.largestBody));
+                                              .max_body_size(options.maxBodyBytes));
         });
 }
 
@@ -394,17 +394,17 @@
     this->state->server->open_sync();
 }
 
-void HttpServer::closeAfterAnswers()
+void HttpServer::closeAfterResponses()
 {
     this->state->standing->closing = true;
 }
 
-std::size_t HttpServer::unanswered() const noexcept
+std::size_t HttpServer::pendingResponses() const noexcept
 {
     return this->state->standing->unanswered;
 }
 
-std::chrono::steady_clock::time_point HttpServer::lastRequest() const noexcept
+std::chrono::steady_clock::time_point HttpServer::lastRequestTime() const noexcept
 {
     using Clock = std::chrono::steady_clock;
     return Clock::time_point(Clock::duration(this->state->standing->lastRequest.load()));
--- a/net/httpserver.h
+++ b/net/httpserver.h
@@ -28,10 +28,10 @@
     Headers headers;
     std::string body;
     /// The server has more connections than it should; the request is best refused.
-    bool crowded = false;
+    bool connectionLimitExceeded = false;
     /// What of the request's head is larger than it may be; empty if nothing is. The request is
     /// best refused.
-    std::string excess;
+    std::string oversizedPart;
 
     /// \returns the header of that lower-case name, or an empty text.
     [[nodiscard]] std::string_view header(std::string_view name) const;
@@ -40,10 +40,10 @@
 };
 
 /// The way back to the caller. Exactly one answer: respond(), or start(), write()s and end().
-class HttpReply
+class HttpResponder
 {
 public:
-    virtual ~HttpReply() = default;
+    virtual ~HttpResponder() = default;
     /// Sends a whole answer.
     virtual void respond(int status, const Headers &headers, std::string body) = 0;
     /// Begins an answer in chunks.
@@ -55,19 +55,19 @@
     /// Breaks an answer in chunks off, so that the caller sees it is not whole.
     virtual void abort() = 0;
     /// Sets what runs once when the caller's connection is gone before the answer ended.
-    virtual void onGone(std::function<void()> gone) = 0;
+    virtual void onDisconnect(std::function<void()> gone) = 0;
 };
 
-using HttpHandler = std::function<void(HttpRequest, std::shared_ptr<HttpReply>)>;
+using HttpHandler = std::function<void(HttpRequest, std::shared_ptr<HttpResponder>)>;
 
 /// Where and how to serve.
 struct HttpServerOptions
 {
     std::string address;
     std::uint16_t port = 0;
-    std::size_t largestBody = 8 << 20;
+    std::size_t maxBodyBytes = 8 << 20;
     /// Above this number of connections requests are marked as crowded.
-    std::size_t mostConnections = 20'000;
+    std::size_t maxConnections = 20'000;
 };
 
 /// An HTTP/1.1 server by RESTinio, on the io_context of its process.
@@ -82,14 +82,14 @@
     /// Opens the port. \throws std::system_error when it can't be had.
     void open();
     /// From now on each answer ends its connection, so that callers go elsewhere.
-    void closeAfterAnswers();
+    void closeAfterResponses();
     /// Takes no further connections; those there are go on.
     void stopAccepting();
     /// \returns the number of requests whose answer is not yet wholly handed to the caller's
     /// connection.
-    [[nodiscard]] std::size_t unanswered() const noexcept;
+    [[nodiscard]] std::size_t pendingResponses() const noexcept;
     /// \returns when the last request came in, by the steady clock.
-    [[nodiscard]] std::chrono::steady_clock::time_point lastRequest() const noexcept;
+    [[nodiscard]] std::chrono::steady_clock::time_point lastRequestTime() const noexcept;
 
 private:
     struct State;
--- a/net/platformclient.cpp
+++ b/net/platformclient.cpp
@@ -37,16 +37,16 @@
     return !error;
 }
 
-PlatformAnswer answerOf(const HttpAnswer &http)
+PlatformResponse answerOf(const HttpResponse &http)
 {
-    PlatformAnswer answer;
+    PlatformResponse answer;
     answer.detail = http.detail;
-    if (http.end != HttpEnd::Whole) {
-        answer.status =
-            http.end == HttpEnd::NotConnected ? PlatformStatus::Rejected : PlatformStatus::Unknown;
+    if (http.outcome != HttpOutcome::Complete) {
+        answer.status = http.outcome == HttpOutcome::NotConnected ? PlatformStatus::Rejected
+                                                                  : PlatformStatus::Unknown;
         return answer;
     }
-    answer.object = objectOf(documentOf(http.body).value_or(nullptr));
+    answer.object = parseObject(documentOf(http.body).value_or(nullptr));
     if (http.status == statusOk) {
         answer.status = answer.object ? PlatformStatus::Ok : PlatformStatus::Unknown;
     } else if (http.status == statusNotFound) {
@@ -63,7 +63,7 @@
 
 } // namespace
 
-std::optional<PlatformObject> objectOf(const nlohmann::json &json)
+std::optional<PlatformObject> parseObject(const nlohmann::json &json)
 {
     if (!json.is_object() || !json.contains("version") || !json["version"].is_number_unsigned()) {
         return std::nullopt;
@@ -81,7 +81,7 @@
     return object;
 }
 
-std::optional<Vm> vmOf(const nlohmann::json &json)
+std::optional<Vm> parseVm(const nlohmann::json &json)
 {
     if (!json.is_object()) {
         return std::nullopt;
@@ -95,7 +95,7 @@
     vm.id = textOf(json, "id");
     vm.role = *role;
     vm.service = textOf(json, "service");
-    vm.place = textOf(json, "place");
+    vm.dataCentre = textOf(json, "place");
     vm.endpoint = {textOf(json, "host"), static_cast<std::uint16_t>(port)};
     // A port cut down to 16 bits or a name in place of an IP number would send work elsewhere or
     // end the router at its next beat; such a VM can't be reached and is left out.
@@ -105,12 +105,12 @@
     }
     vm.leaving = json.contains("leaving") && json["leaving"] == true;
     if (json.contains("started") && json["started"].is_number_unsigned()) {
-        vm.started = json["started"].get<std::uint64_t>();
+        vm.startStamp = json["started"].get<std::uint64_t>();
     }
     return vm;
 }
 
-std::optional<PlatformChanges> changesOf(std::string_view text)
+std::optional<PlatformChanges> parseChanges(std::string_view text)
 {
     const auto json = documentOf(text);
     if (!json || !json->is_object() || !json->contains("version")
@@ -121,7 +121,7 @@
     PlatformChanges changes;
     changes.version = (*json)["version"].get<std::uint64_t>();
     for (const nlohmann::json &each : (*json)["objects"]) {
-        if (auto object = objectOf(each)) {
+        if (auto object = parseObject(each)) {
             changes.objects.push_back(std::move(*object));
         } else {
             ++changes.unreadable;
@@ -130,7 +130,7 @@
     return changes;
 }
 
-std::optional<std::vector<Vm>> vmsOf(std::string_view text)
+std::optional<std::vector<Vm>> parseVmList(std::string_view text)
 {
     const auto json = documentOf(text);
     if (!json || !json->is_array()) {
@@ -138,7 +138,7 @@
     }
     std::vector<Vm> vms;
     for (const nlohmann::json &each : *json) {
-        if (auto vm = vmOf(each)) {
+        if (auto vm = parseVm(each)) {
             vms.push_back(std::move(*vm));
         }
     }
@@ -155,9 +155,14 @@
 
 nlohmann::json toJson(const Vm &vm)
 {
-    return {{"id", vm.id},           {"role", nameOf(vm.role)},  {"service", vm.service},
-            {"place", vm.place},     {"host", vm.endpoint.host}, {"port", vm.endpoint.port},
-            {"leaving", vm.leaving}, {"started", vm.started}};
+    return {{"id", vm.id},
+            {"role", nameOf(vm.role)},
+            {"service", vm.service},
+            {"place", vm.dataCentre},
+            {"host", vm.endpoint.host},
+            {"port", vm.endpoint.port},
+            {"leaving", vm.leaving},
+            {"started", vm.startStamp}};
 }
 
 HttpCall PlatformClient::callTo(const std::string &method, const std::string &path) const
@@ -165,19 +170,19 @@
     HttpCall call;
     call.method = method;
     call.url = this->url + path;
-    call.wholeTimeout = callTimeout;
+    call.totalTimeout = callTimeout;
     return call;
 }
 
-void PlatformClient::get(const std::string &kind, const std::string &name, Done done)
+void PlatformClient::get(const std::string &kind, const std::string &name, ResponseCallback done)
 {
     this->http.fetch(
         this->callTo("GET", "/objects/" + kind + "/" + name),
-        [done = std::move(done)](const HttpAnswer &answer) { done(answerOf(answer)); });
+        [done = std::move(done)](const HttpResponse &answer) { done(answerOf(answer)); });
 }
 
 void PlatformClient::put(const std::string &kind, const std::string &name, std::uint64_t ifVersion,
-                         const nlohmann::json &body, Done done)
+                         const nlohmann::json &body, ResponseCallback done)
 {
     HttpCall call = this->callTo("PUT", "/objects/" + kind + "/" + name);
     call.headers["if-version"] = std::to_string(ifVersion);
@@ -186,39 +191,39 @@
     // A silent second send of a write whose answer was lost would meet its own first effect and
     // report a conflict with itself.
     call.freshConnection = true;
-    this->http.fetch(std::move(call), [done = std::move(done)](const HttpAnswer &answer) {
+    this->http.fetch(std::move(call), [done = std::move(done)](const HttpResponse &answer) {
         done(answerOf(answer));
     });
 }
 
 void PlatformClient::remove(const std::string &kind, const std::string &name,
-                            std::uint64_t ifVersion, Done done)
+                            std::uint64_t ifVersion, ResponseCallback done)
 {
     HttpCall call = this->callTo("DELETE", "/objects/" + kind + "/" + name);
     call.headers["if-version"] = std::to_string(ifVersion);
     call.freshConnection = true;
-    this->http.fetch(std::move(call), [done = std::move(done)](const HttpAnswer &answer) {
+    this->http.fetch(std::move(call), [done = std::move(done)](const HttpResponse &answer) {
         done(answerOf(answer));
     });
 }
 
-void PlatformClient::changes(const std::string &kinds, std::uint64_t after,
-                             std::chrono::milliseconds wait,
-                             std::function<void(std::optional<PlatformChanges>)> done)
+void PlatformClient::listChanges(const std::string &kinds, std::uint64_t after,
+                                 std::chrono::milliseconds wait,
+                                 std::function<void(std::optional<PlatformChanges>)> done)
 {
     HttpCall call =
         this->callTo("GET", "/objects?kinds=" + kinds + "&after=" + std::to_string(after)
                                 + "&wait=" + std::to_string(wait.count()));
-    call.wholeTimeout = callTimeout + wait;
-    this->http.fetch(std::move(call), [done = std::move(done)](const HttpAnswer &answer) {
-        const bool whole = answer.end == HttpEnd::Whole && answer.status == statusOk;
-        done(whole ? changesOf(answer.body) : std::nullopt);
+    call.totalTimeout = callTimeout + wait;
+    this->http.fetch(std::move(call), [done = std::move(done)](const HttpResponse &answer) {
+        const bool whole = answer.outcome == HttpOutcome::Complete && answer.status == statusOk;
+        done(whole ? parseChanges(answer.body) : std::nullopt);
     });
 }
 
-VmListPointer VmListReader::take(const HttpAnswer &answer)
+VmListPointer VmListReader::read(const HttpResponse &answer)
 {
-    if (answer.end != HttpEnd::Whole) {
+    if (answer.outcome != HttpOutcome::Complete) {
         return nullptr;
     }
     if (answer.status == statusNotModified) {
@@ -229,7 +234,7 @@
     }
     const std::uint64_t hash = hashOf(answer.body);
     if (this->last == nullptr || hash != this->lastHash) {
-        auto vms = vmsOf(answer.body);
+        auto vms = parseVmList(answer.body);
         if (!vms) {
             return nullptr;
         }
@@ -237,19 +242,19 @@
         this->lastHash = hash;
     }
     const auto tag = answer.headers.find("etag");
-    this->lastTag = tag == answer.headers.end() ? std::string{} : tag->second;
+    this->lastEtag = tag == answer.headers.end() ? std::string{} : tag->second;
     return this->last;
 }
 
-void PlatformClient::vms(std::function<void(VmListPointer)> done)
+void PlatformClient::listVms(std::function<void(VmListPointer)> done)
 {
     HttpCall call = this->callTo("GET", "/vms");
-    if (!this->vmList->tag().empty()) {
-        call.headers["if-none-match"] = this->vmList->tag();
+    if (!this->vmList->etag().empty()) {
+        call.headers["if-none-match"] = this->vmList->etag();
     }
     this->http.fetch(std::move(call),
-                     [reader = this->vmList, done = std::move(done)](const HttpAnswer &answer) {
-                         done(reader->take(answer));
+                     [reader = this->vmList, done = std::move(done)](const HttpResponse &answer) {
+                         done(reader->read(answer));
                      });
 }
 
--- a/net/platformclient.h
+++ b/net/platformclient.h
@@ -38,7 +38,7 @@
     Unknown,
 };
 
-struct PlatformAnswer
+struct PlatformResponse
 {
     PlatformStatus status = PlatformStatus::Unknown;
     std::optional<PlatformObject> object;
@@ -65,12 +65,12 @@
 {
 public:
     /// \returns the tag to ask with, so that the platform may answer "not modified"; may be empty.
-    [[nodiscard]] const std::string &tag() const noexcept { return this->lastTag; }
+    [[nodiscard]] const std::string &etag() const noexcept { return this->lastEtag; }
     /// \returns the list of \a answer, or nothing when it is none.
-    VmListPointer take(const HttpAnswer &answer);
+    VmListPointer read(const HttpResponse &answer);
 
 private:
-    std::string lastTag;
+    std::string lastEtag;
     std::uint64_t lastHash = 0;
     VmListPointer last;
 };
@@ -79,25 +79,25 @@
 class PlatformClient
 {
 public:
-    using Done = std::function<void(PlatformAnswer)>;
+    using ResponseCallback = std::function<void(PlatformResponse)>;
 
     PlatformClient(HttpClient &http, std::string url)
         : http(http)
         , url(std::move(url))
     {}
 
-    void get(const std::string &kind, const std::string &name, Done done);
+    void get(const std::string &kind, const std::string &name, ResponseCallback done);
     /// Writes if the object's version is \a ifVersion; 0: if there is none.
     void put(const std::string &kind, const std::string &name, std::uint64_t ifVersion,
-             const nlohmann::json &body, Done done);
+             const nlohmann::json &body, ResponseCallback done);
     /// Deletes if the object's version is \a ifVersion.
     void remove(const std::string &kind, const std::string &name, std::uint64_t ifVersion,
-                Done done);
+                ResponseCallback done);
     /// Lists what changed after version \a after, waiting up to \a wait for a change.
-    void changes(const std::string &kinds, std::uint64_t after, std::chrono::milliseconds wait,
-                 std::function<void(std::optional<PlatformChanges>)> done);
+    void listChanges(const std::string &kinds, std::uint64_t after, std::chrono::milliseconds wait,
+                     std::function<void(std::optional<PlatformChanges>)> done);
     /// Lists the VMs; the list lags. \a done gets nothing when no list came. One call at a time.
-    void vms(std::function<void(VmListPointer)> done);
+    void listVms(std::function<void(VmListPointer)> done);
 
 private:
     [[nodiscard]] HttpCall callTo(const std::string &method, const std::string &path) const;
@@ -108,14 +108,14 @@
 };
 
 /// \returns the object that \a json describes, or nothing.
-[[nodiscard]] std::optional<PlatformObject> objectOf(const nlohmann::json &json);
+[[nodiscard]] std::optional<PlatformObject> parseObject(const nlohmann::json &json);
 /// \returns the changes that the answer \a text lists, or nothing when it is no such answer.
-[[nodiscard]] std::optional<PlatformChanges> changesOf(std::string_view text);
+[[nodiscard]] std::optional<PlatformChanges> parseChanges(std::string_view text);
 /// \returns the VMs that the answer \a text lists, or nothing when it is no such answer; a line
 /// that is no VM is left out.
-[[nodiscard]] std::optional<std::vector<Vm>> vmsOf(std::string_view text);
+[[nodiscard]] std::optional<std::vector<Vm>> parseVmList(std::string_view text);
 /// \returns the VM that \a json describes, or nothing.
-[[nodiscard]] std::optional<Vm> vmOf(const nlohmann::json &json);
+[[nodiscard]] std::optional<Vm> parseVm(const nlohmann::json &json);
 [[nodiscard]] nlohmann::json toJson(const PlatformObject &object);
 [[nodiscard]] nlohmann::json toJson(const Vm &vm);
 
--- a/src/catalogue/parse.cpp
+++ b/src/catalogue/parse.cpp
@@ -74,7 +74,7 @@
     bool enter()
     {
         this->levels.emplace_back();
-        this->tooDeep = this->levels.size() > deepestJson;
+        this->tooDeep = this->levels.size() > maxJsonDepth;
         return !this->tooDeep;
     }
 
@@ -86,7 +86,7 @@
 {
     DataClass body;
     fields.read("owner", body.owner, true);
-    fields.read("places", body.places, true);
+    fields.read("places", body.dataCentres, true);
     fields.read("maxStaleSeconds", body.maxStaleSeconds, 0, mostStaleSeconds);
     return body;
 }
@@ -114,8 +114,8 @@
     fields.read("adapter", orders.setup.adapter);
     fields.read("role", orders.setup.role);
     fields.read("checkFencing", orders.checkFencing);
-    fields.read("loadsAtOnce", orders.loadsAtOnce, 1, mostLoadsAtOnce);
-    fields.read("readyPercent", orders.readyPercent, 0, mostReadyPercent);
+    fields.read("loadsAtOnce", orders.maxConcurrentLoads, 1, mostLoadsAtOnce);
+    fields.read("readyPercent", orders.minReadyPercent, 0, mostReadyPercent);
     fields.finish();
     return orders;
 }
@@ -137,8 +137,9 @@
 
 nlohmann::json bodyToJson(const DataClass &body)
 {
-    return {
-        {"owner", body.owner}, {"places", body.places}, {"maxStaleSeconds", body.maxStaleSeconds}};
+    return {{"owner", body.owner},
+            {"places", body.dataCentres},
+            {"maxStaleSeconds", body.maxStaleSeconds}};
 }
 
 nlohmann::json bodyToJson(const Workspace &body)
@@ -156,8 +157,8 @@
 nlohmann::json toJson(const EngineOrders &orders)
 {
     nlohmann::json json{{"checkFencing", orders.checkFencing},
-                        {"loadsAtOnce", orders.loadsAtOnce},
-                        {"readyPercent", orders.readyPercent}};
+                        {"loadsAtOnce", orders.maxConcurrentLoads},
+                        {"readyPercent", orders.minReadyPercent}};
     const EngineSetup &setup = orders.setup;
     const std::array<std::pair<const char *, const std::string &>, 4> parts{
         {{"model", setup.model},
@@ -245,7 +246,7 @@
     const bool whole = nlohmann::json::sax_parse(text, &check);
     if (check.tooDeep) {
         faults.push_back(
-            {"/", "a deeper document", "at most " + std::to_string(deepestJson) + " levels"});
+            {"/", "a deeper document", "at most " + std::to_string(maxJsonDepth) + " levels"});
         return std::nullopt;
     }
     if (check.twice) {
--- a/src/catalogue/table.cpp
+++ b/src/catalogue/table.cpp
@@ -26,12 +26,12 @@
         return;
     }
     const std::uint64_t hash = hashOf(known->token);
-    std::vector<std::string> names = view.tokens.at(hash);
+    std::vector<std::string> names = view.workspacesByTokenHash.at(hash);
     std::erase(names, workspace);
     if (names.empty()) {
-        view.tokens.erase(hash);
+        view.workspacesByTokenHash.erase(hash);
     } else {
-        view.tokens.set(hash, std::move(names));
+        view.workspacesByTokenHash.set(hash, std::move(names));
     }
 }
 
@@ -42,11 +42,11 @@
         return;
     }
     const std::uint64_t hash = hashOf(known->token);
-    const std::vector<std::string> *others = view.tokens.find(hash);
+    const std::vector<std::string> *others = view.workspacesByTokenHash.find(hash);
     std::vector<std::string> names = others == nullptr ? std::vector<std::string>{} : *others;
     names.push_back(workspace);
     std::sort(names.begin(), names.end());
-    view.tokens.set(hash, std::move(names));
+    view.workspacesByTokenHash.set(hash, std::move(names));
 }
 
 void putEntry(CatalogueView &view, const Entry &entry)
@@ -68,7 +68,7 @@
 
 const Workspace *findWorkspace(const CatalogueView &view, std::string_view token, std::string &name)
 {
-    const std::vector<std::string> *names = view.tokens.find(hashOf(token));
+    const std::vector<std::string> *names = view.workspacesByTokenHash.find(hashOf(token));
     if (names == nullptr) {
         return nullptr;
     }
@@ -102,11 +102,11 @@
         }
         ++taken;
         next->version = std::max(next->version, entry.version);
-        if (entry.unread && !entry.body) {
+        if (entry.unreadableText && !entry.body) {
             // The last version that could be read stays in force until this one is mended.
             known.key = entry.key;
             known.version = entry.version;
-            known.unread = entry.unread;
+            known.unreadableText = entry.unreadableText;
             continue;
         }
         known = entry;
@@ -118,22 +118,23 @@
     return taken;
 }
 
-void CatalogueTable::complete(std::uint64_t version, std::optional<TimePoint> at)
+void CatalogueTable::markComplete(std::uint64_t version, std::optional<TimePoint> at)
 {
     const RankedLock lock(this->mutex);
-    this->reached.completeTo = std::max(this->reached.completeTo, version);
-    if (at && version >= this->reached.completeTo
-        && (!this->reached.confirmedAt || *this->reached.confirmedAt < *at)) {
-        this->reached.confirmedAt = at;
+    this->currentFreshness.completeVersion =
+        std::max(this->currentFreshness.completeVersion, version);
+    if (at && version >= this->currentFreshness.completeVersion
+        && (!this->currentFreshness.confirmedAt || *this->currentFreshness.confirmedAt < *at)) {
+        this->currentFreshness.confirmedAt = at;
     }
 }
 
-void CatalogueTable::confirm(std::uint64_t version, TimePoint at)
+void CatalogueTable::markConfirmed(std::uint64_t version, TimePoint at)
 {
     const RankedLock lock(this->mutex);
-    if (version == this->reached.completeTo
-        && (!this->reached.confirmedAt || *this->reached.confirmedAt < at)) {
-        this->reached.confirmedAt = at;
+    if (version == this->currentFreshness.completeVersion
+        && (!this->currentFreshness.confirmedAt || *this->currentFreshness.confirmedAt < at)) {
+        this->currentFreshness.confirmedAt = at;
     }
 }
 
@@ -143,7 +144,7 @@
     return this->current;
 }
 
-std::vector<Entry> CatalogueTable::entriesAbove(std::uint64_t version) const
+std::vector<Entry> CatalogueTable::entriesSince(std::uint64_t version) const
 {
     const RankedLock lock(this->mutex);
     std::vector<Entry> result;
@@ -155,16 +156,17 @@
     return result;
 }
 
-CatalogueStanding CatalogueTable::standing() const
+CatalogueFreshness CatalogueTable::freshness() const
 {
     const RankedLock lock(this->mutex);
-    return this->reached;
+    return this->currentFreshness;
 }
 
 Duration CatalogueTable::staleness(TimePoint now) const
 {
     const RankedLock lock(this->mutex);
-    return this->reached.confirmedAt ? now - *this->reached.confirmedAt : Duration::max();
+    return this->currentFreshness.confirmedAt ? now - *this->currentFreshness.confirmedAt
+                                              : Duration::max();
 }
 
 std::vector<EntryKey> CatalogueTable::unreadable() const
@@ -172,17 +174,17 @@
     const RankedLock lock(this->mutex);
     std::vector<EntryKey> result;
     for (const auto &[key, entry] : this->entries) {
-        if (entry.unread) {
+        if (entry.unreadableText) {
             result.push_back(key);
         }
     }
     return result;
 }
 
-std::optional<Admission> admit(const CatalogueView &view, std::string_view token,
-                               std::string_view service, Duration staleness, Reason &reason)
+std::optional<Authorization> admit(const CatalogueView &view, std::string_view token,
+                                   std::string_view service, Duration staleness, Reason &reason)
 {
-    Admission admission;
+    Authorization admission;
     const Workspace *workspace = findWorkspace(view, token, admission.workspace);
     if (workspace == nullptr) {
         reason = {ErrorKind::Unauthorized, "", std::nullopt};
@@ -208,27 +210,27 @@
         reason = {ErrorKind::NoCatalogue, "the catalogue is older than the class allows", {}};
         return std::nullopt;
     }
-    for (const std::string &place : own->places) {
-        const auto &others = other->places;
+    for (const std::string &place : own->dataCentres) {
+        const auto &others = other->dataCentres;
         if (std::find(others.begin(), others.end(), place) != others.end()) {
-            admission.places.push_back(place);
+            admission.dataCentres.push_back(place);
         }
     }
-    if (admission.places.empty()) {
+    if (admission.dataCentres.empty()) {
         reason = {ErrorKind::NoPermittedPlace, "the data classes share no place", std::nullopt};
         return std::nullopt;
     }
-    admission.limits = *workspace;
+    admission.workspaceEntry = *workspace;
     admission.service = service;
     admission.serviceEntry = *found;
     admission.catalogueVersion = view.version;
     return admission;
 }
 
-bool permits(const Admission &admission, std::string_view place) noexcept
+bool permits(const Authorization &admission, std::string_view place) noexcept
 {
-    return std::find(admission.places.begin(), admission.places.end(), place)
-           != admission.places.end();
+    return std::find(admission.dataCentres.begin(), admission.dataCentres.end(), place)
+           != admission.dataCentres.end();
 }
 
 bool equalInConstantTime(std::string_view first, std::string_view second) noexcept
--- a/src/claims/claim.cpp
+++ b/src/claims/claim.cpp
@@ -23,7 +23,7 @@
 
 std::uint32_t sliceOf(const ClaimId &id) noexcept
 {
-    return static_cast<std::uint32_t>(id.high % claimSlices);
+    return static_cast<std::uint32_t>(id.high % claimSliceCount);
 }
 
 std::string_view nameOf(ClaimVerdict verdict) noexcept
--- a/src/claims/log.cpp
+++ b/src/claims/log.cpp
@@ -14,7 +14,7 @@
 {
     // Twice a segment: a position is written over only after the segment that holds it is known
     // to be written, since the segment before last always is.
-    return 2 * log.limits.segmentPositions;
+    return 2 * log.limits.positionsPerSegment;
 }
 
 std::string positionName(const ClaimLog &log, std::uint64_t position)
@@ -24,7 +24,7 @@
 
 std::string segmentName(const ClaimLog &log, std::uint64_t number)
 {
-    return std::to_string(log.slice) + "-g" + std::to_string(number % log.limits.segments);
+    return std::to_string(log.slice) + "-g" + std::to_string(number % log.limits.maxSegments);
 }
 
 std::uint64_t versionOf(const ClaimLog &log, const std::string &name)
@@ -58,63 +58,63 @@
 {
     for (const ClaimLogEntry &entry : entries) {
         applyEntry(log, entry);
-        log.open.push_back(entry);
+        log.unsealedEntries.push_back(entry);
     }
     log.lastTime = std::max(log.lastTime, time);
-    ++log.next;
+    ++log.nextPosition;
 }
 
 void startOver(ClaimLog &log)
 {
-    log.phase = ClaimLog::Phase::Segments;
-    log.loadSlot = 0;
+    log.phase = ClaimLog::Phase::LoadingSegments;
+    log.nextSegmentSlot = 0;
     log.loadedSegments.clear();
-    log.next = 0;
-    log.sealed = 0;
+    log.nextPosition = 0;
+    log.sealedSegmentCount = 0;
     log.versions.clear();
     log.claims.clear();
-    log.open.clear();
-    log.kept.clear();
-    log.inFlight.reset();
+    log.unsealedEntries.clear();
+    log.segments.clear();
+    log.pendingWrite.reset();
     log.syncedAt.reset();
 }
 
 bool mustSeal(const ClaimLog &log) noexcept
 {
-    return log.next > 0 && log.next % log.limits.segmentPositions == 0
-           && log.sealed < log.next / log.limits.segmentPositions;
+    return log.nextPosition > 0 && log.nextPosition % log.limits.positionsPerSegment == 0
+           && log.sealedSegmentCount < log.nextPosition / log.limits.positionsPerSegment;
 }
 
 /// Keeps the entries since the last segment as a segment, and forgets the oldest one.
 void keepSegment(ClaimLog &log)
 {
-    log.kept.push_back({std::move(log.open), log.lastTime});
-    log.open.clear();
-    ++log.sealed;
-    if (log.kept.size() > log.limits.segments) {
-        log.horizon = std::max(log.horizon, log.kept.front().horizon);
-        forget(log, log.kept.front());
-        log.kept.pop_front();
+    log.segments.push_back({std::move(log.unsealedEntries), log.lastTime});
+    log.unsealedEntries.clear();
+    ++log.sealedSegmentCount;
+    if (log.segments.size() > log.limits.maxSegments) {
+        log.horizon = std::max(log.horizon, log.segments.front().horizon);
+        forget(log, log.segments.front());
+        log.segments.pop_front();
     }
 }
 
 void composeSegment(ClaimLog &log)
 {
-    const std::uint64_t number = log.sealed;
+    const std::uint64_t number = log.sealedSegmentCount;
     std::uint64_t horizon = log.horizon;
-    if (log.kept.size() == log.limits.segments) {
-        horizon = std::max(horizon, log.kept.front().horizon);
+    if (log.segments.size() == log.limits.maxSegments) {
+        horizon = std::max(horizon, log.segments.front().horizon);
     }
-    ClaimLog::InFlight next;
-    next.segment = true;
+    ClaimLog::PendingWrite next;
+    next.isSegment = true;
     next.call = {true, segmentName(log, number), versionOf(log, segmentName(log, number)),
-                 encodeSegment({number, log.lastTime, horizon, log.open})};
-    log.inFlight = std::move(next);
+                 encodeSegment({number, log.lastTime, horizon, log.unsealedEntries})};
+    log.pendingWrite = std::move(next);
 }
 
-bool isExpired(const ClaimLog &log, const ClaimAsk &ask)
+bool isExpired(const ClaimLog &log, const ClaimRequest &ask)
 {
-    const auto skew = static_cast<std::uint64_t>(log.limits.clockSkew.count());
+    const auto skew = static_cast<std::uint64_t>(log.limits.maxClockSkew.count());
     return ask.issuedMilliseconds != 0 && log.horizon != 0
            && ask.issuedMilliseconds <= log.horizon + skew;
 }
@@ -129,15 +129,15 @@
     log.releases.erase(std::remove_if(log.releases.begin(), log.releases.end(), useless),
                        log.releases.end());
     for (const Claim &claim : log.releases) {
-        if (entries.size() < log.limits.batch) {
+        if (entries.size() < log.limits.maxEntriesPerPosition) {
             entries.push_back({claim, true});
         }
     }
     std::set<ClaimId> ids;
-    for (const ClaimLog::Waiting &waiting : log.pending) {
-        const Claim &claim = waiting.ask.claim;
-        if (entries.size() < log.limits.batch && !log.claims.contains(claim.id)
-            && !isExpired(log, waiting.ask) && ids.insert(claim.id).second) {
+    for (const ClaimLog::PendingClaim &waiting : log.pending) {
+        const Claim &claim = waiting.request.claim;
+        if (entries.size() < log.limits.maxEntriesPerPosition && !log.claims.contains(claim.id)
+            && !isExpired(log, waiting.request) && ids.insert(claim.id).second) {
             entries.push_back({claim, false});
         }
     }
@@ -147,13 +147,13 @@
 void composeBatch(ClaimLog &log, std::vector<ClaimLogEntry> entries, WallTime wall)
 {
     const auto time = static_cast<std::uint64_t>(wall.time_since_epoch().count());
-    const std::string name = positionName(log, log.next);
-    const std::string nonce = std::to_string(log.writer) + "." + std::to_string(++log.batches);
-    ClaimLog::InFlight next;
+    const std::string name = positionName(log, log.nextPosition);
+    const std::string nonce = std::to_string(log.writer) + "." + std::to_string(++log.batchCount);
+    ClaimLog::PendingWrite next;
     next.call = {true, name, versionOf(log, name),
-                 encodeBatch({log.next, nonce, std::max(time, log.lastTime), entries})};
+                 encodeBatch({log.nextPosition, nonce, std::max(time, log.lastTime), entries})};
     next.entries = std::move(entries);
-    log.inFlight = std::move(next);
+    log.pendingWrite = std::move(next);
 }
 
 /// Finishes the load of segments: takes them in by number, or starts over when they are not one
@@ -161,13 +161,13 @@
 void takeLoadedSegments(ClaimLog &log)
 {
     if (log.loadedSegments.empty()) {
-        log.phase = ClaimLog::Phase::Positions;
+        log.phase = ClaimLog::Phase::ReadingPositions;
         return;
     }
     const std::uint64_t newest = log.loadedSegments.rbegin()->first;
     const std::uint64_t oldest = log.loadedSegments.begin()->first;
     if (newest - oldest + 1 != log.loadedSegments.size()
-        || (oldest != 0 && log.loadedSegments.size() != log.limits.segments)) {
+        || (oldest != 0 && log.loadedSegments.size() != log.limits.maxSegments)) {
         startOver(log);
         return;
     }
@@ -176,15 +176,15 @@
             applyEntry(log, entry);
         }
         log.lastTime = std::max(log.lastTime, segment.horizon);
-        log.kept.push_back(std::move(segment));
+        log.segments.push_back(std::move(segment));
     }
     log.loadedSegments.clear();
-    log.sealed = newest + 1;
-    log.next = log.sealed * log.limits.segmentPositions;
-    log.phase = ClaimLog::Phase::Positions;
+    log.sealedSegmentCount = newest + 1;
+    log.nextPosition = log.sealedSegmentCount * log.limits.positionsPerSegment;
+    log.phase = ClaimLog::Phase::ReadingPositions;
 }
 
-void takeSegmentRead(ClaimLog &log, const StoreAnswer &answer)
+void takeSegmentRead(ClaimLog &log, const StoreResponse &answer)
 {
     const auto record =
         answer.outcome == StoreOutcome::Ok ? decodeSegment(answer.body) : std::nullopt;
@@ -195,26 +195,26 @@
     log.versions[segmentName(log, record->number)] = answer.version;
     log.horizon = std::max(log.horizon, record->horizon);
     log.loadedSegments[record->number] = {record->entries, record->time};
-    if (++log.loadSlot == log.limits.segments) {
+    if (++log.nextSegmentSlot == log.limits.maxSegments) {
         takeLoadedSegments(log);
     }
 }
 
 /// Takes what a ring object holds where the next position is looked for.
-void takePosition(ClaimLog &log, const StoreAnswer &answer, TimePoint now)
+void takePosition(ClaimLog &log, const StoreResponse &answer, TimePoint now)
 {
     const auto record = decodeBatch(answer.body);
     if (answer.version != 0) {
-        log.versions[positionName(log, log.next)] = answer.version;
+        log.versions[positionName(log, log.nextPosition)] = answer.version;
     }
-    if (record && record->position == log.next) {
+    if (record && record->position == log.nextPosition) {
         advance(log, record->entries, record->time);
         if (log.contendedUntil && now < *log.contendedUntil) {
-            log.contendedUntil = now + log.limits.contention;
+            log.contendedUntil = now + log.limits.contentionWindow;
         }
         return;
     }
-    if (record && record->position > log.next) {
+    if (record && record->position > log.nextPosition) {
         startOver(log);
         return;
     }
@@ -222,33 +222,33 @@
     log.phase = ClaimLog::Phase::Ready;
 }
 
-void takeRead(ClaimLog &log, const StoreAnswer &answer, TimePoint now)
+void takeRead(ClaimLog &log, const StoreResponse &answer, TimePoint now)
 {
     if (answer.outcome != StoreOutcome::Ok && answer.outcome != StoreOutcome::NotFound) {
         return;
     }
-    if (log.phase == ClaimLog::Phase::Segments) {
+    if (log.phase == ClaimLog::Phase::LoadingSegments) {
         takeSegmentRead(log, answer);
     } else {
         takePosition(log, answer, now);
     }
 }
 
-void takeSegmentWrite(ClaimLog &log, const StoreAnswer &answer)
+void takeSegmentWrite(ClaimLog &log, const StoreResponse &answer)
 {
-    log.versions[log.inFlight->call.name] = answer.version;
+    log.versions[log.pendingWrite->call.name] = answer.version;
     if (answer.outcome == StoreOutcome::Conflict) {
         const auto record = decodeSegment(answer.body);
-        if (record && record->number > log.sealed) {
+        if (record && record->number > log.sealedSegmentCount) {
             startOver(log);
             return;
         }
-        if (!record || record->number < log.sealed) {
-            log.inFlight->call.ifVersion = answer.version;
+        if (!record || record->number < log.sealedSegmentCount) {
+            log.pendingWrite->call.ifVersion = answer.version;
             return;
         }
     }
-    log.inFlight.reset();
+    log.pendingWrite.reset();
     keepSegment(log);
 }
 
@@ -260,27 +260,28 @@
 /// Sets when the next position may be tried.
 void awaitPace(ClaimLog &log, TimePoint now)
 {
-    log.writeAfter = now
-                     + paceOf(log.limits, isContended(log, now), log.lostRaces,
-                              mixHash(log.writer, mixHash(log.batches, log.next)));
+    log.nextWriteAt =
+        now
+        + nextWriteInterval(log.limits, isContended(log, now), log.lostRaces,
+                            mixHash(log.writer, mixHash(log.batchCount, log.nextPosition)));
 }
 
 void loseRace(ClaimLog &log, TimePoint now)
 {
-    if (log.limits.mostDoublings == 0) {
+    if (log.limits.maxBackoffDoublings == 0) {
         return;
     }
     ++log.lostRaces;
-    log.contendedUntil = now + log.limits.contention;
+    log.contendedUntil = now + log.limits.contentionWindow;
     awaitPace(log, now);
 }
 
-void takeBatchWrite(ClaimLog &log, const StoreAnswer &answer, TimePoint now)
+void takeBatchWrite(ClaimLog &log, const StoreResponse &answer, TimePoint now)
 {
-    const auto written = decodeBatch(log.inFlight->call.body);
+    const auto written = decodeBatch(log.pendingWrite->call.body);
     if (answer.outcome == StoreOutcome::Ok) {
-        log.versions[log.inFlight->call.name] = answer.version;
-        log.inFlight.reset();
+        log.versions[log.pendingWrite->call.name] = answer.version;
+        log.pendingWrite.reset();
         advance(log, written->entries, written->time);
         log.syncedAt = now;
         log.lostRaces = 0;
@@ -288,15 +289,15 @@
         return;
     }
     const auto present = decodeBatch(answer.body);
-    if (!present || present->position < log.next) {
-        log.versions[log.inFlight->call.name] = answer.version;
-        log.inFlight->call.ifVersion = answer.version;
+    if (!present || present->position < log.nextPosition) {
+        log.versions[log.pendingWrite->call.name] = answer.version;
+        log.pendingWrite->call.ifVersion = answer.version;
         return;
     }
     // Here a lost answer is recognised: what holds the position has this batch's own nonce and
     // so its own entries. Another writer's batch is read and gone on after.
     const bool own = present->nonce == written->nonce;
-    log.inFlight.reset();
+    log.pendingWrite.reset();
     if (own) {
         log.lostRaces = 0;
         awaitPace(log, now);
@@ -306,56 +307,58 @@
     takePosition(log, answer, now);
 }
 
-void takeFailure(ClaimLog &log, const StoreAnswer &answer, TimePoint now)
+void takeFailure(ClaimLog &log, const StoreResponse &answer, TimePoint now)
 {
     if (!log.failingSince) {
         log.failingSince = now;
     }
-    log.writeAfter = std::max(log.writeAfter, now + log.limits.retryPause);
-    if (!log.inFlight) {
+    log.nextWriteAt = std::max(log.nextWriteAt, now + log.limits.retryDelay);
+    if (!log.pendingWrite) {
         return;
     }
-    log.inFlight->uncertain = log.inFlight->uncertain || answer.outcome == StoreOutcome::Unknown;
+    log.pendingWrite->mayHaveTakenEffect =
+        log.pendingWrite->mayHaveTakenEffect || answer.outcome == StoreOutcome::Unknown;
     // A batch that can't have reached the store is made anew, without those who gave up. One that
     // may have is sent again as it is, until the store says what holds its position.
-    if (!log.inFlight->uncertain) {
-        log.inFlight.reset();
+    if (!log.pendingWrite->mayHaveTakenEffect) {
+        log.pendingWrite.reset();
     }
 }
 
 bool isStale(const ClaimLog &log, TimePoint now)
 {
-    return !log.syncedAt || now - *log.syncedAt > log.limits.freshness;
+    return !log.syncedAt || now - *log.syncedAt > log.limits.maxViewAge;
 }
 
 /// Whether the view was brought up to date since the pace allowed the next try. Two writers that
 /// each try at what they hold for the next position lose every other try; a read is cheaper.
 bool isCheckedForOthers(const ClaimLog &log, TimePoint now)
 {
-    return !isContended(log, now) || *log.syncedAt >= log.writeAfter;
+    return !isContended(log, now) || *log.syncedAt >= log.nextWriteAt;
 }
 
 } // namespace
 
-Duration paceOf(const ClaimLogLimits &limits, bool contended, unsigned lostRaces,
-                std::uint64_t seed) noexcept
+Duration nextWriteInterval(const ClaimLogLimits &limits, bool contended, unsigned lostRaces,
+                           std::uint64_t seed) noexcept
 {
-    if (!contended || limits.mostDoublings == 0) {
-        return limits.pace;
+    if (!contended || limits.maxBackoffDoublings == 0) {
+        return limits.writeInterval;
     }
     constexpr std::uint64_t steps = 1000;
-    const Duration base = limits.pace * (1U << std::clamp(lostRaces, 1U, limits.mostDoublings));
+    const Duration base =
+        limits.writeInterval * (1U << std::clamp(lostRaces, 1U, limits.maxBackoffDoublings));
     return base + base / 2 * (seed % steps) / steps;
 }
 
-bool enqueueClaim(ClaimLog &log, const ClaimAsk &ask)
+bool enqueueClaim(ClaimLog &log, const ClaimRequest &ask)
 {
-    for (const ClaimLog::Waiting &waiting : log.pending) {
-        if (waiting.ask.claim.nonce == ask.claim.nonce) {
+    for (const ClaimLog::PendingClaim &waiting : log.pending) {
+        if (waiting.request.claim.nonce == ask.claim.nonce) {
             return true;
         }
     }
-    if (log.pending.size() >= log.limits.mostPending) {
+    if (log.pending.size() >= log.limits.maxPending) {
         return false;
     }
     log.pending.push_back({ask});
@@ -364,13 +367,13 @@
 
 void releaseClaim(ClaimLog &log, const Claim &claim)
 {
-    const auto same = [&claim](const ClaimLog::Waiting &waiting) {
-        return waiting.ask.claim.nonce == claim.nonce;
+    const auto same = [&claim](const ClaimLog::PendingClaim &waiting) {
+        return waiting.request.claim.nonce == claim.nonce;
     };
     log.pending.erase(std::remove_if(log.pending.begin(), log.pending.end(), same),
                       log.pending.end());
     const auto known = [&claim](const Claim &each) { return each.nonce == claim.nonce; };
-    if (log.releases.size() < log.limits.mostPending
+    if (log.releases.size() < log.limits.maxPending
         && std::none_of(log.releases.begin(), log.releases.end(), known)) {
         log.releases.push_back(claim);
     }
@@ -378,48 +381,48 @@
 
 std::optional<StoreCall> nextStoreCall(ClaimLog &log, TimePoint now, WallTime wall)
 {
-    const bool work = !log.pending.empty() || !log.releases.empty() || log.inFlight;
-    if (log.calling || !work || (log.failingSince && now < log.writeAfter)) {
+    const bool work = !log.pending.empty() || !log.releases.empty() || log.pendingWrite;
+    if (log.callOutstanding || !work || (log.failingSince && now < log.nextWriteAt)) {
         return std::nullopt;
     }
-    log.calling = true;
-    if (log.inFlight) {
-        return log.inFlight->call;
+    log.callOutstanding = true;
+    if (log.pendingWrite) {
+        return log.pendingWrite->call;
     }
-    if (log.phase == ClaimLog::Phase::Segments) {
-        return StoreCall{false, segmentName(log, log.loadSlot), 0, {}};
+    if (log.phase == ClaimLog::Phase::LoadingSegments) {
+        return StoreCall{false, segmentName(log, log.nextSegmentSlot), 0, {}};
     }
     if (mustSeal(log)) {
         composeSegment(log);
-        return log.inFlight->call;
+        return log.pendingWrite->call;
     }
-    if (log.phase == ClaimLog::Phase::Positions || isStale(log, now)) {
-        log.phase = ClaimLog::Phase::Positions;
-        return StoreCall{false, positionName(log, log.next), 0, {}};
+    if (log.phase == ClaimLog::Phase::ReadingPositions || isStale(log, now)) {
+        log.phase = ClaimLog::Phase::ReadingPositions;
+        return StoreCall{false, positionName(log, log.nextPosition), 0, {}};
     }
-    if (now >= log.writeAfter) {
+    if (now >= log.nextWriteAt) {
         auto entries = entriesToWrite(log);
         if (!entries.empty() && !isCheckedForOthers(log, now)) {
-            log.phase = ClaimLog::Phase::Positions;
-            return StoreCall{false, positionName(log, log.next), 0, {}};
+            log.phase = ClaimLog::Phase::ReadingPositions;
+            return StoreCall{false, positionName(log, log.nextPosition), 0, {}};
         }
         if (!entries.empty()) {
             composeBatch(log, std::move(entries), wall);
-            return log.inFlight->call;
+            return log.pendingWrite->call;
         }
     }
-    log.calling = false;
+    log.callOutstanding = false;
     return std::nullopt;
 }
 
-std::vector<ClaimReply> settleClaims(ClaimLog &log, TimePoint now)
+std::vector<ClaimReply> decideClaims(ClaimLog &log, TimePoint now)
 {
     std::vector<ClaimReply> replies;
     if (log.phase != ClaimLog::Phase::Ready || isStale(log, now)) {
         return replies;
     }
-    const auto decide = [&](const ClaimLog::Waiting &waiting) {
-        const Claim &claim = waiting.ask.claim;
+    const auto decide = [&](const ClaimLog::PendingClaim &waiting) {
+        const Claim &claim = waiting.request.claim;
         const auto held = log.claims.find(claim.id);
         if (held != log.claims.end()) {
             const bool own = held->second.nonce == claim.nonce;
@@ -428,7 +431,7 @@
             return true;
         }
         // What is on its way to the store may be written yet, and is not expired then.
-        if (!log.inFlight && isExpired(log, waiting.ask)) {
+        if (!log.pendingWrite && isExpired(log, waiting.request)) {
             replies.push_back({claim.nonce, ClaimVerdict::Expired, {}});
             return true;
         }
@@ -439,33 +442,34 @@
     return replies;
 }
 
-std::vector<ClaimReply> takeStoreAnswer(ClaimLog &log, const StoreAnswer &answer, TimePoint now)
+std::vector<ClaimReply> handleStoreResponse(ClaimLog &log, const StoreResponse &answer,
+                                            TimePoint now)
 {
-    log.calling = false;
+    log.callOutstanding = false;
     if (answer.outcome == StoreOutcome::Rejected || answer.outcome == StoreOutcome::Unknown) {
         takeFailure(log, answer, now);
         return {};
     }
     log.failingSince.reset();
-    if (!log.inFlight) {
+    if (!log.pendingWrite) {
         takeRead(log, answer, now);
     } else if (answer.outcome == StoreOutcome::NotFound) {
         startOver(log);
-    } else if (log.inFlight->segment) {
+    } else if (log.pendingWrite->isSegment) {
         takeSegmentWrite(log, answer);
     } else {
         takeBatchWrite(log, answer, now);
     }
-    return settleClaims(log, now);
+    return decideClaims(log, now);
 }
 
 std::optional<TimePoint> wakeTime(const ClaimLog &log, TimePoint now)
 {
-    const bool work = !log.pending.empty() || !log.releases.empty() || log.inFlight;
-    if (log.calling || !work) {
+    const bool work = !log.pending.empty() || !log.releases.empty() || log.pendingWrite;
+    if (log.callOutstanding || !work) {
         return std::nullopt;
     }
-    return std::max(now, log.writeAfter);
+    return std::max(now, log.nextWriteAt);
 }
 
 } // namespace plantainswitch
--- a/src/claims/ownclaims.cpp
+++ b/src/claims/ownclaims.cpp
@@ -12,87 +12,89 @@
 
 void dropOldestAnswer(OwnClaims &own)
 {
-    const auto found = own.byNonce.find(own.answered.front());
-    own.answered.pop_front();
-    if (found != own.byNonce.end() && found->second.answer) {
-        own.answerBytes -= found->second.answer->body.size();
-        found->second.answer.reset();
+    const auto found = own.byNonce.find(own.responseOrder.front());
+    own.responseOrder.pop_front();
+    if (found != own.byNonce.end() && found->second.response) {
+        own.responseBytes -= found->second.response->body.size();
+        found->second.response.reset();
     }
 }
 
 void keepBounds(OwnClaims &own, TimePoint now)
 {
-    while (!own.answered.empty()) {
-        const auto oldest = own.byNonce.find(own.answered.front());
-        const bool old =
-            oldest == own.byNonce.end() || now - oldest->second.since > own.limits.keepAnswers;
-        if (!old && own.answerBytes <= own.limits.answerBytes) {
+    while (!own.responseOrder.empty()) {
+        const auto oldest = own.byNonce.find(own.responseOrder.front());
+        const bool old = oldest == own.byNonce.end()
+                         || now - oldest->second.since > own.limits.responseRetention;
+        if (!old && own.responseBytes <= own.limits.maxResponseBytes) {
             break;
         }
         dropOldestAnswer(own);
     }
-    while (own.ended.size() > own.limits.claims) {
-        const auto oldest = own.byNonce.find(own.ended.front());
-        own.ended.pop_front();
+    while (own.endedOrder.size() > own.limits.maxEndedClaims) {
+        const auto oldest = own.byNonce.find(own.endedOrder.front());
+        own.endedOrder.pop_front();
         if (oldest == own.byNonce.end()) {
             continue;
         }
-        if (oldest->second.answer) {
-            own.answerBytes -= oldest->second.answer->body.size();
+        if (oldest->second.response) {
+            own.responseBytes -= oldest->second.response->body.size();
         }
-        const auto newest = own.newest.find(oldest->second.claim.id);
-        if (newest != own.newest.end() && newest->second == oldest->first) {
-            own.newest.erase(newest);
+        const auto newest = own.newestNonceById.find(oldest->second.claim.id);
+        if (newest != own.newestNonceById.end() && newest->second == oldest->first) {
+            own.newestNonceById.erase(newest);
         }
         own.byNonce.erase(oldest);
     }
 }
 
-bool hasEnded(OwnState state) noexcept
+bool hasEnded(OwnClaimState state) noexcept
 {
-    return state == OwnState::Abandoned || state == OwnState::Done || state == OwnState::Lost;
+    return state == OwnClaimState::Abandoned || state == OwnClaimState::Done
+           || state == OwnClaimState::Lost;
 }
 
 } // namespace
 
-std::string_view nameOf(OwnState state) noexcept
+std::string_view nameOf(OwnClaimState state) noexcept
 {
     return stateNames.at(static_cast<std::size_t>(state));
 }
 
 void beginClaim(OwnClaims &own, const Claim &claim, TimePoint now)
 {
-    own.byNonce[claim.nonce] = {claim, OwnState::Claiming, now, std::nullopt};
-    own.newest[claim.id] = claim.nonce;
+    own.byNonce[claim.nonce] = {claim, OwnClaimState::Claiming, now, std::nullopt};
+    own.newestNonceById[claim.id] = claim.nonce;
 }
 
-bool startClaim(OwnClaims &own, std::uint64_t nonce, TimePoint now)
+bool dispatchClaim(OwnClaims &own, std::uint64_t nonce, TimePoint now)
 {
     const auto found = own.byNonce.find(nonce);
-    if (found == own.byNonce.end() || found->second.state != OwnState::Claiming) {
+    if (found == own.byNonce.end() || found->second.state != OwnClaimState::Claiming) {
         return false;
     }
-    found->second.state = OwnState::Running;
+    found->second.state = OwnClaimState::Running;
     found->second.since = now;
     return true;
 }
 
-void endClaim(OwnClaims &own, std::uint64_t nonce, OwnState state, std::optional<KeptAnswer> answer,
-              TimePoint now, bool notRun)
+void endClaim(OwnClaims &own, std::uint64_t nonce, OwnClaimState state,
+              std::optional<CachedResponse> answer, TimePoint now, bool notRun)
 {
     const auto found = own.byNonce.find(nonce);
     if (found == own.byNonce.end() || hasEnded(found->second.state)) {
         return;
     }
     OwnClaim &claim = found->second;
-    const bool dispatched = claim.state == OwnState::Running;
-    claim.state = state == OwnState::Abandoned && dispatched && !notRun ? OwnState::Lost : state;
+    const bool dispatched = claim.state == OwnClaimState::Running;
+    claim.state =
+        state == OwnClaimState::Abandoned && dispatched && !notRun ? OwnClaimState::Lost : state;
     claim.since = now;
-    own.ended.push_back(nonce);
-    if (answer && claim.state == OwnState::Done) {
-        own.answerBytes += answer->body.size();
-        claim.answer = std::move(answer);
-        own.answered.push_back(nonce);
+    own.endedOrder.push_back(nonce);
+    if (answer && claim.state == OwnClaimState::Done) {
+        own.responseBytes += answer->body.size();
+        claim.response = std::move(answer);
+        own.responseOrder.push_back(nonce);
     }
     keepBounds(own, now);
 }
@@ -105,26 +107,26 @@
 
 OwnClaim newestClaimOf(const OwnClaims &own, const ClaimId &id)
 {
-    const auto found = own.newest.find(id);
-    return found == own.newest.end() ? OwnClaim{} : ownClaimOf(own, found->second);
+    const auto found = own.newestNonceById.find(id);
+    return found == own.newestNonceById.end() ? OwnClaim{} : ownClaimOf(own, found->second);
 }
 
-Reason repeatReason(std::uint64_t content, const Claim &holder, OwnState state)
+Reason duplicateRequestReason(std::uint64_t content, const Claim &holder, OwnClaimState state)
 {
     if (content != holder.content) {
         return {ErrorKind::KeyReused, "", std::nullopt};
     }
     switch (state) {
-    case OwnState::Claiming:
-    case OwnState::Running:
+    case OwnClaimState::Claiming:
+    case OwnClaimState::Running:
         return {ErrorKind::InProgress, "", std::nullopt};
-    case OwnState::Done:
+    case OwnClaimState::Done:
         return {ErrorKind::AlreadyRan, "", std::nullopt};
-    case OwnState::Abandoned:
+    case OwnClaimState::Abandoned:
         return {ErrorKind::ClaimUnavailable, "an earlier claim is being released", 1};
-    case OwnState::Lost:
+    case OwnClaimState::Lost:
         return {ErrorKind::MayHaveRun, "the upstream failed while it ran", std::nullopt};
-    case OwnState::Unknown:
+    case OwnClaimState::Unknown:
         break;
     }
     return {ErrorKind::MayHaveRun, "the router that claimed it can't be asked", std::nullopt};
@@ -136,14 +138,14 @@
     beginClaim(this->own, claim, now);
 }
 
-bool OwnClaimTable::start(std::uint64_t nonce, TimePoint now)
+bool OwnClaimTable::dispatch(std::uint64_t nonce, TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    return startClaim(this->own, nonce, now);
+    return dispatchClaim(this->own, nonce, now);
 }
 
-void OwnClaimTable::end(std::uint64_t nonce, OwnState state, std::optional<KeptAnswer> answer,
-                        TimePoint now, bool notRun)
+void OwnClaimTable::end(std::uint64_t nonce, OwnClaimState state,
+                        std::optional<CachedResponse> answer, TimePoint now, bool notRun)
 {
     const RankedLock lock(this->mutex);
     endClaim(this->own, nonce, state, std::move(answer), now, notRun);
--- a/src/claims/writerchoice.cpp
+++ b/src/claims/writerchoice.cpp
@@ -24,39 +24,40 @@
 
 /// Gives up the writer asked last once it left too many asks unheard.
 /// \returns its id, or 0 when it is not given up
-std::uint64_t passOver(AskRoute &route, SilentWriters &silent, const WriterLimits &limits,
+std::uint64_t passOver(ClaimRoute &route, SilentWriters &silent, const WriterLimits &limits,
                        TimePoint now)
 {
-    if (route.asked == 0 || route.unheard < limits.unheardAsks) {
+    if (route.writer == 0 || route.unacknowledged < limits.maxUnacknowledged) {
         return 0;
     }
-    const std::uint64_t given = route.asked;
-    silent[given] = now + limits.rememberSilent;
-    route.passed.push_back(given);
-    route.asked = 0;
-    route.unheard = 0;
+    const std::uint64_t given = route.writer;
+    silent[given] = now + limits.silentWriterRetention;
+    route.triedWriters.push_back(given);
+    route.writer = 0;
+    route.unacknowledged = 0;
     return given;
 }
 
 /// Chooses the next writer: the one that acknowledged the ask, else the first that is neither
 /// done with nor silent. \returns its index, or the number of writers
-std::size_t chooseWriter(const AskRoute &route, const SilentWriters &silent,
+std::size_t chooseWriter(const ClaimRoute &route, const SilentWriters &silent,
                          const std::vector<std::uint64_t> &writers, TimePoint now)
 {
-    const auto same = std::find(writers.begin(), writers.end(), route.asked);
-    if (route.asked != 0 && same != writers.end()) {
+    const auto same = std::find(writers.begin(), writers.end(), route.writer);
+    if (route.writer != 0 && same != writers.end()) {
         return static_cast<std::size_t>(same - writers.begin());
     }
     const auto next = std::find_if(writers.begin(), writers.end(), [&](std::uint64_t id) {
-        return !contains(route.passed, id) && !isSilent(silent, id, now);
+        return !contains(route.triedWriters, id) && !isSilent(silent, id, now);
     });
     return static_cast<std::size_t>(next - writers.begin());
 }
 
 } // namespace
 
-std::vector<std::size_t> writersOf(std::uint32_t slice, const std::vector<WriterCandidate> &members,
-                                   const std::string &ownPlace, const WriterLimits &limits)
+std::vector<std::size_t> claimWritersOf(std::uint32_t slice,
+                                        const std::vector<WriterCandidate> &members,
+                                        const std::string &ownPlace, const WriterLimits &limits)
 {
     std::vector<Candidate> candidates;
     candidates.reserve(members.size());
@@ -70,65 +71,65 @@
             return std::find(writers.begin(), writers.end(), index) == writers.end()
                    && wanted(members[index]);
         });
-        if (found != order.end() && writers.size() < limits.writers) {
+        if (found != order.end() && writers.size() < limits.maxWriters) {
             writers.push_back(*found);
         }
     };
     const auto any = [](const WriterCandidate &) { return true; };
     add(any);
     if (!writers.empty()) {
-        const std::string first = members[writers.front()].place;
-        add([&first](const WriterCandidate &member) { return member.place != first; });
+        const std::string first = members[writers.front()].dataCentre;
+        add([&first](const WriterCandidate &member) { return member.dataCentre != first; });
     }
     const bool ownAsked = std::any_of(writers.begin(), writers.end(), [&](std::size_t index) {
-        return members[index].place == ownPlace;
+        return members[index].dataCentre == ownPlace;
     });
     if (!ownAsked) {
-        add([&ownPlace](const WriterCandidate &member) { return member.place == ownPlace; });
+        add([&ownPlace](const WriterCandidate &member) { return member.dataCentre == ownPlace; });
     }
-    while (writers.size() < std::min(limits.writers, members.size())) {
+    while (writers.size() < std::min(limits.maxWriters, members.size())) {
         add(any);
     }
     return writers;
 }
 
-AskStep nextAskStep(AskRoute &route, SilentWriters &silent,
-                    const std::vector<std::uint64_t> &writers, std::uint64_t self,
-                    const WriterLimits &limits, TimePoint now)
+ClaimRouteStep nextClaimRouteStep(ClaimRoute &route, SilentWriters &silent,
+                                  const std::vector<std::uint64_t> &writers, std::uint64_t self,
+                                  const WriterLimits &limits, TimePoint now)
 {
-    if (limits.mostRefusals > 0 && route.refusals >= limits.mostRefusals) {
-        return {AskAction::Refuse, 0, Duration{0}, 0};
+    if (limits.maxRefusals > 0 && route.refusals >= limits.maxRefusals) {
+        return {ClaimRouteAction::Refuse, 0, Duration{0}, 0};
     }
-    AskStep step;
-    step.wait = limits.askAgainAfter;
-    step.silent = route.here ? 0 : passOver(route, silent, limits, now);
+    ClaimRouteStep step;
+    step.wait = limits.resendInterval;
+    step.silentWriter = route.writeLocally ? 0 : passOver(route, silent, limits, now);
     const std::size_t chosen = chooseWriter(route, silent, writers, now);
-    if (route.here || chosen == writers.size() || writers[chosen] == self) {
-        route.here = true;
+    if (route.writeLocally || chosen == writers.size() || writers[chosen] == self) {
+        route.writeLocally = true;
         return step;
     }
-    if (route.asked != writers[chosen]) {
-        route.asked = writers[chosen];
-        route.unheard = 0;
+    if (route.writer != writers[chosen]) {
+        route.writer = writers[chosen];
+        route.unacknowledged = 0;
     }
-    ++route.unheard;
-    step.action = AskAction::Send;
+    ++route.unacknowledged;
+    step.action = ClaimRouteAction::Send;
     step.writer = chosen;
     step.wait = limits.ackTimeout;
     return step;
 }
 
-void hearWriter(AskRoute &route, SilentWriters &silent)
+void recordWriterAck(ClaimRoute &route, SilentWriters &silent)
 {
-    route.unheard = 0;
-    silent.erase(route.asked);
+    route.unacknowledged = 0;
+    silent.erase(route.writer);
 }
 
-void refuseWriter(AskRoute &route)
+void recordWriterRefusal(ClaimRoute &route)
 {
     ++route.refusals;
-    route.passed.push_back(route.asked);
-    route.asked = 0;
+    route.triedWriters.push_back(route.writer);
+    route.writer = 0;
 }
 
 } // namespace plantainswitch
--- a/src/limits/fairqueue.cpp
+++ b/src/limits/fairqueue.cpp
@@ -9,12 +9,12 @@
 
 constexpr double intervalSmoothing = 0.1;
 
-bool isAsk(const QueuedAsk &queued, const SlotKey &key) noexcept
+bool isAsk(const QueuedRequest &queued, const SlotKey &key) noexcept
 {
-    return queued.router == key.first && queued.ask.askId == key.second;
+    return queued.router == key.first && queued.request.requestId == key.second;
 }
 
-std::uint32_t weightOf(const SlotAsk &ask) noexcept
+std::uint32_t weightOf(const SlotRequest &ask) noexcept
 {
     return std::max<std::uint32_t>(ask.weight, 1);
 }
@@ -26,7 +26,7 @@
     auto best = queue.flows.end();
     for (auto each = queue.flows.begin(); each != queue.flows.end(); ++each) {
         if (!each->second.waiting.empty()
-            && (best == queue.flows.end() || each->second.start < best->second.start)) {
+            && (best == queue.flows.end() || each->second.startTag < best->second.startTag)) {
             best = each;
         }
     }
@@ -44,30 +44,30 @@
         return;
     }
     std::erase_if(queue.flows, [&queue](const auto &item) {
-        return item.second.waiting.empty() && item.second.start <= queue.virtualTime;
+        return item.second.waiting.empty() && item.second.startTag <= queue.virtualTime;
     });
 }
 
-QueuedAsk *findAsk(FairQueue &queue, const SlotKey &key, std::uint64_t workspace)
+QueuedRequest *findAsk(FairQueue &queue, const SlotKey &key, std::uint64_t workspace)
 {
     const auto flow = queue.flows.find(workspace);
     if (flow == queue.flows.end()) {
         return nullptr;
     }
-    std::deque<QueuedAsk> &waiting = flow->second.waiting;
+    std::deque<QueuedRequest> &waiting = flow->second.waiting;
     const auto found = std::find_if(waiting.begin(), waiting.end(),
-                                    [&key](const QueuedAsk &each) { return isAsk(each, key); });
+                                    [&key](const QueuedRequest &each) { return isAsk(each, key); });
     return found == waiting.end() ? nullptr : &*found;
 }
 
 template<typename Condition>
-std::vector<QueuedAsk> takeOut(FairQueue &queue, Condition condition)
+std::vector<QueuedRequest> takeOut(FairQueue &queue, Condition condition)
 {
-    std::vector<QueuedAsk> taken;
+    std::vector<QueuedRequest> taken;
     for (auto &[workspace, flow] : queue.flows) {
-        const auto rest =
-            std::stable_partition(flow.waiting.begin(), flow.waiting.end(),
-                                  [&condition](const QueuedAsk &each) { return !condition(each); });
+        const auto rest = std::stable_partition(
+            flow.waiting.begin(), flow.waiting.end(),
+            [&condition](const QueuedRequest &each) { return !condition(each); });
         std::move(rest, flow.waiting.end(), std::back_inserter(taken));
         flow.waiting.erase(rest, flow.waiting.end());
     }
@@ -76,12 +76,12 @@
     return taken;
 }
 
-void insertByPriority(QueueFlow &flow, QueuedAsk queued)
+void insertByPriority(QueueFlow &flow, QueuedRequest queued)
 {
-    const auto place =
-        std::find_if(flow.waiting.begin(), flow.waiting.end(), [&queued](const QueuedAsk &each) {
-            return each.ask.priority < queued.ask.priority;
-        });
+    const auto place = std::find_if(flow.waiting.begin(), flow.waiting.end(),
+                                    [&queued](const QueuedRequest &each) {
+                                        return each.request.priority < queued.request.priority;
+                                    });
     flow.waiting.insert(place, std::move(queued));
 }
 
@@ -118,25 +118,25 @@
     return std::chrono::duration_cast<Duration>(*queue.slotInterval * std::min(turns, most));
 }
 
-QueueOutcome enqueueAsk(FairQueue &queue, std::uint64_t router, const SlotAsk &ask,
-                        const QueueSettings &settings, TimePoint now)
+EnqueueResult enqueueRequest(FairQueue &queue, std::uint64_t router, const SlotRequest &ask,
+                             const QueueSettings &settings, TimePoint now)
 {
     const std::uint32_t weight = weightOf(ask);
-    if (QueuedAsk *known = findAsk(queue, {router, ask.askId}, ask.workspace)) {
-        known->heard = now;
+    if (QueuedRequest *known = findAsk(queue, {router, ask.requestId}, ask.workspace)) {
+        known->lastRepeatedAt = now;
         return {QueueVerdict::Repeated, Duration{0}};
     }
     const Duration expected = expectedWait(queue, ask.workspace, weight);
     const Duration bound = Milliseconds{ask.waitMilliseconds};
     const auto known = queue.flows.find(ask.workspace);
     const std::size_t own = known == queue.flows.end() ? 0 : known->second.waiting.size();
-    if (expected > bound || own >= settings.mostForWeight * weight
-        || queue.length >= settings.mostInAll) {
+    if (expected > bound || own >= settings.maxPerWeight * weight
+        || queue.length >= settings.maxTotal) {
         return {QueueVerdict::Refused, expected};
     }
     QueueFlow &flow = queue.flows[ask.workspace];
     if (flow.waiting.empty()) {
-        flow.start = std::max(flow.start, queue.virtualTime);
+        flow.startTag = std::max(flow.startTag, queue.virtualTime);
     }
     flow.weight = weight;
     insertByPriority(flow, {router, ask, now, now + bound, now});
@@ -144,20 +144,20 @@
     return {QueueVerdict::Queued, expected};
 }
 
-std::vector<QueuedAsk> expireAsks(FairQueue &queue, TimePoint now)
+std::vector<QueuedRequest> expireRequests(FairQueue &queue, TimePoint now)
 {
-    return takeOut(queue, [now](const QueuedAsk &each) {
-        return now >= each.expires || now - each.heard > askerTimeout;
+    return takeOut(queue, [now](const QueuedRequest &each) {
+        return now >= each.expiresAt || now - each.lastRepeatedAt > requesterTimeout;
     });
 }
 
-const QueuedAsk *nextAsk(const FairQueue &queue)
+const QueuedRequest *peekRequest(const FairQueue &queue)
 {
     const auto flow = nextFlow(queue);
     return flow == queue.flows.end() ? nullptr : &flow->second.waiting.front();
 }
 
-void popAsk(FairQueue &queue, bool served, TimePoint now)
+void popRequest(FairQueue &queue, bool served, TimePoint now)
 {
     const auto next = nextFlow(queue);
     if (next == queue.flows.end()) {
@@ -167,21 +167,21 @@
     flow.waiting.pop_front();
     --queue.length;
     if (served) {
-        queue.virtualTime = std::max(queue.virtualTime, flow.start);
-        flow.start += 1.0 / flow.weight;
+        queue.virtualTime = std::max(queue.virtualTime, flow.startTag);
+        flow.startTag += 1.0 / flow.weight;
         noteServed(queue, now);
     }
     forgetPassedFlows(queue);
 }
 
-bool cancelAsk(FairQueue &queue, const SlotKey &key)
+bool cancelRequest(FairQueue &queue, const SlotKey &key)
 {
-    return !takeOut(queue, [&key](const QueuedAsk &each) { return isAsk(each, key); }).empty();
+    return !takeOut(queue, [&key](const QueuedRequest &each) { return isAsk(each, key); }).empty();
 }
 
 void cancelRouter(FairQueue &queue, std::uint64_t router)
 {
-    takeOut(queue, [router](const QueuedAsk &each) { return each.router == router; });
+    takeOut(queue, [router](const QueuedRequest &each) { return each.router == router; });
 }
 
 } // namespace plantainswitch
--- a/src/limits/shares.cpp
+++ b/src/limits/shares.cpp
@@ -29,12 +29,13 @@
 
 bool hasShare(const LocalLimit &local, TimePoint now) noexcept
 {
-    return local.share.has_value() && now < local.shareLapses;
+    return local.share.has_value() && now < local.shareExpiresAt;
 }
 
 double evenPart(double limit, const FleetSize &fleet, const ShareSettings &settings) noexcept
 {
-    return limit * settings.reserve / static_cast<double>(std::max<std::size_t>(fleet.known, 1));
+    return limit * settings.reserveFraction
+           / static_cast<double>(std::max<std::size_t>(fleet.known, 1));
 }
 
 /// The limit of this owner's part of the fleet.
@@ -46,14 +47,14 @@
 
 void refill(LocalLimit &local, double rate, const ShareSettings &settings, TimePoint now)
 {
-    const double room = std::max(settings.leastBurst, rate * settings.burstSeconds);
-    if (!local.filled) {
-        local.tokens = settings.leastBurst;
+    const double room = std::max(settings.minBurst, rate * settings.burstSeconds);
+    if (!local.refilledAt) {
+        local.tokens = settings.minBurst;
     } else {
-        local.tokens += rate * secondsOf(now - *local.filled);
+        local.tokens += rate * secondsOf(now - *local.refilledAt);
     }
     local.tokens = std::min(local.tokens, room);
-    local.filled = now;
+    local.refilledAt = now;
 }
 
 int retryAfter(double tokens, double rate) noexcept
@@ -67,7 +68,7 @@
 
 void forgetLapsed(OwnedLimit &owned, TimePoint now)
 {
-    std::erase_if(owned.parts, [now](const auto &item) { return now >= item.second.lapses; });
+    std::erase_if(owned.shares, [now](const auto &item) { return now >= item.second.expiresAt; });
 }
 
 /// One quantity of a limit as it is divided: the rate or the number in flight.
@@ -92,7 +93,7 @@
     const std::size_t silent =
         fleet.active > division.reporters ? fleet.active - division.reporters : 0;
     const double shared = limit - even * static_cast<double>(silent);
-    const double floors = shared * settings.floorPart;
+    const double floors = shared * settings.evenFraction;
     const double each = floors / static_cast<double>(division.reporters);
     const double portion = division.allWanted > 0 ? division.wanted / division.allWanted : 1.0;
     const double most =
@@ -104,8 +105,8 @@
 
 } // namespace
 
-double rateOf(const LocalLimit &local, const WorkspaceLimit &limit, const FleetSize &fleet,
-              const ShareSettings &settings, TimePoint now)
+double allowedRate(const LocalLimit &local, const WorkspaceLimit &limit, const FleetSize &fleet,
+                   const ShareSettings &settings, TimePoint now)
 {
     if (hasShare(local, now)) {
         return std::min(local.share->rate, static_cast<double>(limit.requestsPerSecond));
@@ -113,8 +114,8 @@
     return evenPart(limit.requestsPerSecond, fleet, settings);
 }
 
-std::uint32_t inFlightOf(const LocalLimit &local, const WorkspaceLimit &limit,
-                         const FleetSize &fleet, const ShareSettings &settings, TimePoint now)
+std::uint32_t allowedInFlight(const LocalLimit &local, const WorkspaceLimit &limit,
+                              const FleetSize &fleet, const ShareSettings &settings, TimePoint now)
 {
     const double part =
         hasShare(local, now)
@@ -127,15 +128,15 @@
                                              const FleetSize &fleet, const ShareSettings &settings,
                                              TimePoint now)
 {
-    ++local.arrived;
-    local.used = now;
+    ++local.arrivals;
+    local.lastUsed = now;
     if (limit.maxInFlight != 0
-        && local.inFlight >= inFlightOf(local, limit, fleet, settings, now)) {
+        && local.inFlight >= allowedInFlight(local, limit, fleet, settings, now)) {
         ++local.refusedInFlight;
         return LimitRefusal{true, 1};
     }
     if (limit.requestsPerSecond != 0) {
-        const double rate = rateOf(local, limit, fleet, settings, now);
+        const double rate = allowedRate(local, limit, fleet, settings, now);
         refill(local, rate, settings, now);
         if (local.tokens < 1.0) {
             return LimitRefusal{false, retryAfter(local.tokens, rate)};
@@ -146,33 +147,34 @@
     return std::nullopt;
 }
 
-void endWithinLimit(LocalLimit &local) noexcept
+void releaseWithinLimit(LocalLimit &local) noexcept
 {
     if (local.inFlight > 0) {
         --local.inFlight;
     }
 }
 
-std::optional<LimitUse> dueUse(LocalLimit &local, WorkspaceId workspace, std::uint32_t sequence,
-                               const WorkspaceLimit &limit, const FleetSize &fleet,
-                               const ShareSettings &settings, TimePoint now)
+std::optional<LimitUse> dueReport(LocalLimit &local, WorkspaceId workspace, std::uint32_t sequence,
+                                  const WorkspaceLimit &limit, const FleetSize &fleet,
+                                  const ShareSettings &settings, TimePoint now)
 {
-    const Duration since = local.reported ? now - *local.reported : settings.reportPeriod;
+    const Duration since = local.reportedAt ? now - *local.reportedAt : settings.reportPeriod;
     if (since < settings.reportPeriod) {
         return std::nullopt;
     }
-    const double arrivals = local.arrived / std::max(secondsOf(since), 1e-3);
+    const double arrivals = local.arrivals / std::max(secondsOf(since), 1e-3);
     double wanted =
-        local.reported ? smoothing * arrivals + (1 - smoothing) * local.rateWanted : arrivals;
+        local.reportedAt ? smoothing * arrivals + (1 - smoothing) * local.rateWanted : arrivals;
     const std::uint32_t inFlightWanted = local.inFlight + local.refusedInFlight;
     const bool held = hasShare(local, now);
-    const bool shortRate = held && limit.requestsPerSecond != 0
-                           && arrivals > shortShare * rateOf(local, limit, fleet, settings, now);
+    const bool shortRate =
+        held && limit.requestsPerSecond != 0
+        && arrivals > shortShare * allowedRate(local, limit, fleet, settings, now);
     const bool shortInFlight =
         limit.maxInFlight != 0
-        && inFlightWanted > shortShare * inFlightOf(local, limit, fleet, settings, now);
-    const bool active = local.arrived > 0 || local.inFlight > 0;
-    const bool renew = held && active && now + settings.lease / 2 >= local.shareLapses;
+        && inFlightWanted > shortShare * allowedInFlight(local, limit, fleet, settings, now);
+    const bool active = local.arrivals > 0 || local.inFlight > 0;
+    const bool renew = held && active && now + settings.leaseDuration / 2 >= local.shareExpiresAt;
     const bool first = !held && active && limit.requestsPerSecond != 0 && local.tokens < 1.0;
     const bool fallen = held && local.share->rate > worthGivingBack
                         && local.share->rate < ampleShare * local.rateWanted
@@ -189,38 +191,38 @@
     }
     local.rateWanted = wanted;
     local.rateReported = use.rateHeld;
-    local.arrived = 0;
+    local.arrivals = 0;
     local.refusedInFlight = 0;
-    local.reported = now;
-    local.reportedIn = sequence;
+    local.reportedAt = now;
+    local.reportSequence = sequence;
     return use;
 }
 
-bool takeShare(LocalLimit &local, const LimitShare &share, std::uint32_t sequence,
-               const ShareSettings &settings, TimePoint now)
+bool applyShare(LocalLimit &local, const LimitShare &share, std::uint32_t sequence,
+                const ShareSettings &settings, TimePoint now)
 {
-    if (!local.reported || local.reportedIn != sequence
-        || now >= *local.reported + settings.lease) {
+    if (!local.reportedAt || local.reportSequence != sequence
+        || now >= *local.reportedAt + settings.leaseDuration) {
         return false;
     }
     local.share = share;
     // Counted from the report: the owner counts from its later arrival and so lets go last.
-    local.shareLapses = *local.reported + settings.lease;
+    local.shareExpiresAt = *local.reportedAt + settings.leaseDuration;
     return true;
 }
 
-std::optional<LimitShare> divideLimit(OwnedLimit &owned, const WorkspaceLimit &limit,
-                                      std::uint64_t router, const LimitUse &use,
-                                      std::uint32_t sequence, const FleetSize &fleet,
-                                      const ShareSettings &settings, TimePoint now)
+std::optional<LimitShare> allocateShare(OwnedLimit &owned, const WorkspaceLimit &limit,
+                                        std::uint64_t router, const LimitUse &use,
+                                        std::uint32_t sequence, const FleetSize &fleet,
+                                        const ShareSettings &settings, TimePoint now)
 {
     // An owner that heard nothing for a lease may have been replaced in between.
-    if (!owned.since || now - owned.heard > settings.lease) {
-        owned.since = now;
+    if (!owned.ownerSince || now - owned.lastReportAt > settings.leaseDuration) {
+        owned.ownerSince = now;
     }
-    owned.heard = now;
+    owned.lastReportAt = now;
     forgetLapsed(owned, now);
-    OwnedPart &part = owned.parts[router];
+    GrantedShare &part = owned.shares[router];
     if (part.sequence != 0 && sequence <= part.sequence) {
         return std::nullopt;
     }
@@ -233,31 +235,31 @@
                       0,
                       0};
     part.use = use;
-    for (const auto &[other, each] : owned.parts) {
+    for (const auto &[other, each] : owned.shares) {
         rate.allWanted += each.use.rateWanted;
         inFlight.allWanted += each.use.inFlightWanted;
         if (other != router) {
-            rate.othersOut += each.rateOut;
-            inFlight.othersOut += each.inFlightOut;
+            rate.othersOut += each.grantedRate;
+            inFlight.othersOut += each.grantedInFlight;
         }
     }
-    rate.reporters = inFlight.reporters = owned.parts.size();
-    const bool learning = fleet.changed && now - *fleet.changed < settings.lease
-                          && now - *owned.since < settings.lease;
+    rate.reporters = inFlight.reporters = owned.shares.size();
+    const bool learning = fleet.changedAt && now - *fleet.changedAt < settings.leaseDuration
+                          && now - *owned.ownerSince < settings.leaseDuration;
     LimitShare share{use.workspace, partOf(rate, fleet, settings, learning),
                      static_cast<std::uint32_t>(partOf(inFlight, fleet, settings, learning))};
     part.sequence = sequence;
-    part.rateOut = std::max(use.rateHeld, share.rate);
-    part.inFlightOut = std::max(use.inFlightHeld, share.inFlight);
-    part.lapses = now + settings.lease;
+    part.grantedRate = std::max(use.rateHeld, share.rate);
+    part.grantedInFlight = std::max(use.inFlightHeld, share.inFlight);
+    part.expiresAt = now + settings.leaseDuration;
     return share;
 }
 
-void countRouters(KnownRouters &known, std::size_t active, TimePoint now) noexcept
+void updateKnownRouters(KnownRouters &known, std::size_t active, TimePoint now) noexcept
 {
-    if (active >= known.count || now - known.seen > knownRoutersMemory) {
+    if (active >= known.count || now - known.lastSeen > knownRoutersRetention) {
         known.count = std::max<std::size_t>(active, 1);
-        known.seen = now;
+        known.lastSeen = now;
     }
 }
 
--- a/src/limits/table.cpp
+++ b/src/limits/table.cpp
@@ -39,17 +39,17 @@
     return admitWithinLimit(this->locals[workspace], limit, fleet, this->settings, now);
 }
 
-void LimitTable::end(WorkspaceId workspace)
+void LimitTable::release(WorkspaceId workspace)
 {
     const RankedLock lock(this->mutex);
     const auto found = this->locals.find(workspace);
     if (found != this->locals.end()) {
-        endWithinLimit(found->second);
+        releaseWithinLimit(found->second);
     }
 }
 
-std::vector<LimitUse> LimitTable::due(std::uint32_t sequence, const LimitLookup &limitOf,
-                                      const FleetSize &fleet, TimePoint now)
+std::vector<LimitUse> LimitTable::dueReports(std::uint32_t sequence, const LimitLookup &limitOf,
+                                             const FleetSize &fleet, TimePoint now)
 {
     const RankedLock lock(this->mutex);
     std::vector<LimitUse> uses;
@@ -59,26 +59,27 @@
             continue;
         }
         if (const auto use =
-                dueUse(local, workspace, sequence, *limit, fleet, this->settings, now)) {
+                dueReport(local, workspace, sequence, *limit, fleet, this->settings, now)) {
             uses.push_back(*use);
         }
     }
     return uses;
 }
 
-void LimitTable::take(const LimitShares &shares, TimePoint now)
+void LimitTable::applyShares(const LimitShares &shares, TimePoint now)
 {
     const RankedLock lock(this->mutex);
     for (const LimitShare &share : shares.shares) {
         const auto found = this->locals.find(share.workspace);
         if (found != this->locals.end()) {
-            takeShare(found->second, share, shares.sequence, this->settings, now);
+            applyShare(found->second, share, shares.sequence, this->settings, now);
         }
     }
 }
 
-LimitShares LimitTable::divide(std::uint64_t router, const LimitReport &report,
-                               const LimitLookup &limitOf, const FleetSize &fleet, TimePoint now)
+LimitShares LimitTable::allocateShares(std::uint64_t router, const LimitReport &report,
+                                       const LimitLookup &limitOf, const FleetSize &fleet,
+                                       TimePoint now)
 {
     const RankedLock lock(this->mutex);
     LimitShares answer{report.sequence, {}};
@@ -87,8 +88,8 @@
         if (!limit) {
             continue;
         }
-        if (const auto share = divideLimit(this->owned[use.workspace], *limit, router, use,
-                                           report.sequence, fleet, this->settings, now)) {
+        if (const auto share = allocateShare(this->owned[use.workspace], *limit, router, use,
+                                             report.sequence, fleet, this->settings, now)) {
             answer.shares.push_back(*share);
         }
     }
@@ -99,10 +100,10 @@
 {
     const RankedLock lock(this->mutex);
     std::erase_if(this->locals, [now](const auto &item) {
-        return item.second.inFlight == 0 && now - item.second.used > idleMemory;
+        return item.second.inFlight == 0 && now - item.second.lastUsed > idleMemory;
     });
     std::erase_if(this->owned,
-                  [now](const auto &item) { return now - item.second.heard > idleMemory; });
+                  [now](const auto &item) { return now - item.second.lastReportAt > idleMemory; });
 }
 
 double LimitTable::rate(WorkspaceId workspace, const WorkspaceLimit &limit, const FleetSize &fleet,
@@ -110,8 +111,8 @@
 {
     const RankedLock lock(this->mutex);
     const auto found = this->locals.find(workspace);
-    return rateOf(found == this->locals.end() ? LocalLimit{} : found->second, limit, fleet,
-                  this->settings, now);
+    return allowedRate(found == this->locals.end() ? LocalLimit{} : found->second, limit, fleet,
+                       this->settings, now);
 }
 
 } // namespace plantainswitch
--- a/src/membership/freshness.cpp
+++ b/src/membership/freshness.cpp
@@ -29,20 +29,20 @@
 {
     FreshnessPolicy policy;
     policy.confirmInterval = bound / confirmationsInBound;
-    policy.gatherPause = bound / gatherPausesInBound;
-    policy.standbyPause = policy.gatherPause * standbyPauses;
-    policy.maxWait = std::max(policy.maxWait, policy.confirmInterval);
+    policy.coalesceDelay = bound / gatherPausesInBound;
+    policy.standbyCoalesceDelay = policy.coalesceDelay * standbyPauses;
+    policy.maxWatchWait = std::max(policy.maxWatchWait, policy.confirmInterval);
     return policy;
 }
 
-void AnswerTimeout::recordAnswer(Duration took) noexcept
+void AdaptiveTimeout::recordResponse(Duration took) noexcept
 {
     // Follows a slower platform at once and a faster one gradually.
     this->smoothed = std::max(took, (this->smoothed + took) / 2);
     this->timeouts = 0;
 }
 
-Milliseconds AnswerTimeout::value() const noexcept
+Milliseconds AdaptiveTimeout::value() const noexcept
 {
     const auto estimated = std::chrono::duration_cast<Milliseconds>(this->smoothed * 2);
     const Milliseconds base = std::max(minTimeout, minTimeout / 2 + estimated);
@@ -50,7 +50,7 @@
     return std::min(maxTimeout, base * (1 << doublings));
 }
 
-Milliseconds retryPause(std::uint32_t failures, std::uint64_t seed) noexcept
+Milliseconds retryBackoff(std::uint32_t failures, std::uint64_t seed) noexcept
 {
     const std::uint32_t doublings = std::min(std::max(failures, 1U) - 1, maxDoublings);
     const Milliseconds pause = std::min(minRetryPause * (1 << doublings), maxRetryPause);
@@ -61,25 +61,26 @@
 
 bool isWatchDue(const FreshnessPolicy &policy, Duration sinceChange, bool isStandby) noexcept
 {
-    return sinceChange >= (isStandby ? policy.standbyPause : policy.gatherPause);
+    return sinceChange >= (isStandby ? policy.standbyCoalesceDelay : policy.coalesceDelay);
 }
 
 Milliseconds watchWait(const FreshnessPolicy &policy, bool isConfirmer) noexcept
 {
-    return isConfirmer ? policy.confirmInterval : policy.maxWait;
+    return isConfirmer ? policy.confirmInterval : policy.maxWatchWait;
 }
 
-bool isConfirmationDue(const FreshnessPolicy &policy, const FreshnessSituation &situation) noexcept
+bool isConfirmationDue(const FreshnessPolicy &policy, const ConfirmationState &situation) noexcept
 {
-    return situation.rank == 0 && situation.held > policy.confirmInterval
+    return situation.rank == 0 && situation.currentWatchWait > policy.confirmInterval
            && situation.sinceConfirmed > policy.confirmInterval;
 }
 
-bool isUnconfirmed(const FreshnessPolicy &policy, const FreshnessSituation &situation) noexcept
+bool isConfirmationOverdue(const FreshnessPolicy &policy,
+                           const ConfirmationState &situation) noexcept
 {
     const auto turn = static_cast<std::int64_t>(std::min(situation.rank, maxRank));
     return situation.sinceConfirmed
-           > policy.confirmInterval + situation.answerTimeout + updateDelay + turn * rankStep;
+           > policy.confirmInterval + situation.responseTimeout + updateDelay + turn * rankStep;
 }
 
 } // namespace plantainswitch
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -11,9 +11,9 @@
 {
     Heartbeat result;
     result.id = member.id;
-    result.place = member.place;
-    result.datagrams = member.datagrams;
-    result.calls = member.calls;
+    result.dataCentre = member.dataCentre;
+    result.datagramEndpoint = member.datagramEndpoint;
+    result.rpcEndpoint = member.rpcEndpoint;
     result.incarnation = member.incarnation;
     result.leaving = member.leaving;
     return result;
@@ -22,8 +22,9 @@
 bool lastsSame(const Heartbeat &listed, const Heartbeat &member)
 {
     return listed.incarnation == member.incarnation && listed.leaving == member.leaving
-           && listed.place == member.place && listed.datagrams == member.datagrams
-           && listed.calls == member.calls;
+           && listed.dataCentre == member.dataCentre
+           && listed.datagramEndpoint == member.datagramEndpoint
+           && listed.rpcEndpoint == member.rpcEndpoint;
 }
 
 bool isBefore(const Heartbeat &first, const Heartbeat &second)
@@ -33,7 +34,7 @@
 
 bool isActive(const Member &member)
 {
-    return member.state != MemberState::Gone && !member.last.leaving;
+    return member.state != MemberState::Gone && !member.heartbeat.leaving;
 }
 
 bool isListed(const Heartbeat &own)
@@ -48,12 +49,13 @@
         return isListed(state.own) ? &state.own : nullptr;
     }
     const auto found = state.members.find(id);
-    return found != state.members.end() && isActive(found->second) ? &found->second.last : nullptr;
+    return found != state.members.end() && isActive(found->second) ? &found->second.heartbeat
+                                                                   : nullptr;
 }
 
 } // namespace
 
-void MemberTable::begin(const Heartbeat &own, std::uint64_t seed)
+void MemberTable::initialize(const Heartbeat &own, std::uint64_t seed)
 {
     const RankedLock lock(this->mutex);
     this->state.own = own;
@@ -64,10 +66,10 @@
 SwimOutput MemberTable::tick(const Heartbeat &own, const std::set<Endpoint> &seeds, TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    this->describe(own);
+    this->setSelf(own);
     SwimOutput output = swimTick(this->state, this->settings, seeds, now);
     for (const Heartbeat &gone : output.gone) {
-        this->dropSnapshotUnlessHolds(gone.id);
+        this->invalidateSnapshotIfChanged(gone.id);
     }
     return output;
 }
@@ -77,45 +79,45 @@
     const RankedLock lock(this->mutex);
     SwimOutput output = swimReceive(this->state, this->settings, message, from, now);
     // Nobody else than whom the message names can have changed by it.
-    this->dropSnapshotUnlessHolds(message.from.id);
+    this->invalidateSnapshotIfChanged(message.sender.id);
     for (const MemberUpdate &update : message.updates) {
-        this->dropSnapshotUnlessHolds(update.member.id);
+        this->invalidateSnapshotIfChanged(update.member.id);
     }
     return output;
 }
 
-SwimOutput MemberTable::tellFew(const Heartbeat &own)
+SwimOutput MemberTable::gossipSelf(const Heartbeat &own)
 {
     const RankedLock lock(this->mutex);
-    this->describe(own);
-    return swimTellFew(this->state, this->settings);
+    this->setSelf(own);
+    return swimGossipSelf(this->state, this->settings);
 }
 
 SwimOutput MemberTable::announce(const Heartbeat &own, bool gone)
 {
     const RankedLock lock(this->mutex);
-    this->describe(own);
+    this->setSelf(own);
     return swimAnnounce(this->state, this->settings, gone);
 }
 
-bool MemberTable::hear(const Heartbeat &heartbeat, TimePoint now)
+bool MemberTable::receiveHeartbeat(const Heartbeat &heartbeat, TimePoint now)
 {
     SwimMessage message;
-    message.kind = SwimKind::State;
-    message.from = heartbeat;
-    return !this->receive(message, heartbeat.datagrams, now).joined.empty();
+    message.kind = SwimKind::JoinReply;
+    message.sender = heartbeat;
+    return !this->receive(message, heartbeat.datagramEndpoint, now).joined.empty();
 }
 
-void MemberTable::describe(const Heartbeat &own)
+void MemberTable::setSelf(const Heartbeat &own)
 {
     if (own.id != this->state.own.id) {
         this->snapshot.reset();
     }
-    describeSelf(this->state, own);
-    this->dropSnapshotUnlessHolds(own.id);
+    swimUpdateSelf(this->state, own);
+    this->invalidateSnapshotIfChanged(own.id);
 }
 
-void MemberTable::dropSnapshotUnlessHolds(const std::string &id)
+void MemberTable::invalidateSnapshotIfChanged(const std::string &id)
 {
     if (!this->snapshot) {
         return;
@@ -145,7 +147,7 @@
     }
     for (const auto &[id, member] : this->state.members) {
         if (isActive(member)) {
-            made->push_back(lasting(member.last));
+            made->push_back(lasting(member.heartbeat));
         }
     }
     std::sort(made->begin(), made->end(), isBefore);
@@ -163,7 +165,7 @@
     }
     for (const auto &[id, member] : this->state.members) {
         if (member.state != MemberState::Gone) {
-            result.push_back(member.last);
+            result.push_back(member.heartbeat);
         }
     }
     std::sort(result.begin(), result.end(), isBefore);
@@ -180,7 +182,7 @@
     if (found == this->state.members.end() || found->second.state == MemberState::Gone) {
         return std::nullopt;
     }
-    return found->second.last;
+    return found->second.heartbeat;
 }
 
 } // namespace plantainswitch
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -23,13 +23,13 @@
 void answerNewcomer(SwimState &state, const Endpoint &to, SwimOutput &output)
 {
     SwimMessage message;
-    message.kind = SwimKind::State;
-    message.from = state.own;
+    message.kind = SwimKind::JoinReply;
+    message.sender = state.own;
     for (const auto &[id, member] : state.members) {
         if (!isLive(member)) {
             continue;
         }
-        message.updates.push_back({member.last, MemberState::Alive});
+        message.updates.push_back({member.heartbeat, MemberState::Alive});
         if (message.updates.size() == membersInState) {
             output.sends.push_back({to, message});
             message.updates.clear();
@@ -47,7 +47,7 @@
     return stateNames.at(static_cast<std::size_t>(state));
 }
 
-void describeSelf(SwimState &state, const Heartbeat &own)
+void swimUpdateSelf(SwimState &state, const Heartbeat &own)
 {
     const std::uint32_t refutation =
         state.own.refutation + (state.own.leaving != own.leaving ? 1U : 0U);
@@ -59,25 +59,26 @@
                     TimePoint now)
 {
     SwimOutput output;
-    forgivePause(state, settings, now);
+    resetAfterPause(state, settings, now);
     state.lastTick = now;
-    followProbes(state, settings, now, output);
-    judgeSuspects(state, settings, now, output);
-    if (now < state.probeAt) {
+    checkProbeTimeouts(state, settings, now, output);
+    expireSuspects(state, settings, now, output);
+    if (now < state.nextProbeAt) {
         return output;
     }
-    state.probeAt = now + settings.period;
-    tellAccused(state, settings, output);
-    probe(state, settings, nextInRound(state, state.order, true), now, output);
-    if (speaksAcross(state)) {
-        probe(state, settings, nextInRound(state, state.crossOrder, false), now, output);
+    state.nextProbeAt = now + settings.probePeriod;
+    notifySuspects(state, settings, output);
+    sendProbe(state, settings, nextProbeTarget(state, state.localProbeOrder, true), now, output);
+    if (gossipsAcrossDataCentres(state)) {
+        sendProbe(state, settings, nextProbeTarget(state, state.remoteProbeOrder, false), now,
+                  output);
     }
     const bool alone = std::none_of(state.members.begin(), state.members.end(),
                                     [](const auto &each) { return isLive(each.second); });
-    if (alone || state.periods % settings.seedPeriods == 0) {
+    if (alone || state.periodCount % settings.seedPingInterval == 0) {
         pingSeed(state, settings, seeds, output);
     }
-    ++state.periods;
+    ++state.periodCount;
     return output;
 }
 
@@ -85,54 +86,54 @@
                        const Endpoint &from, TimePoint now)
 {
     SwimOutput output;
-    if (message.from.id == state.own.id) {
+    if (message.sender.id == state.own.id) {
         return output;
     }
-    std::vector<News> news;
-    hearSender(state, settings, message.from, now, output, news);
+    std::vector<GossipUpdate> news;
+    handleSenderHeartbeat(state, settings, message.sender, now, output, news);
     for (const MemberUpdate &update : message.updates) {
-        if (message.kind == SwimKind::State && update.member.id != state.own.id) {
-            apply(state, update, now, output);
+        if (message.kind == SwimKind::JoinReply && update.member.id != state.own.id) {
+            applyUpdate(state, update, now, output);
         } else {
-            applyNews(state, settings, update, now, output, news);
+            handleUpdate(state, settings, update, now, output, news);
         }
     }
-    gossip(state, settings, news, output);
+    sendGossip(state, settings, news, output);
     switch (message.kind) {
     case SwimKind::Ping:
-        output.sends.push_back({from, ackOf(state, settings, message.probe)});
+        output.sends.push_back({from, makeAck(state, settings, message.probe)});
         if (message.join) {
             answerNewcomer(state, from, output);
         }
         break;
     case SwimKind::Ack:
-        takeAck(state, settings, message.probe, output);
+        handleAck(state, settings, message.probe, output);
         break;
     case SwimKind::PingRequest:
-        takePingRequest(state, settings, message, from, now, output);
+        handlePingRequest(state, settings, message, from, now, output);
         break;
     case SwimKind::Gossip:
-    case SwimKind::State:
+    case SwimKind::JoinReply:
         break;
     }
     return output;
 }
 
-SwimOutput swimTellFew(SwimState &state, const SwimSettings &settings)
+SwimOutput swimGossipSelf(SwimState &state, const SwimSettings &settings)
 {
     SwimOutput output;
     std::set<Endpoint> targets;
-    for (const Member *member : pick(state, true, settings.fanout, "")) {
-        targets.insert(member->last.datagrams);
+    for (const Member *member : sampleMembers(state, true, settings.localFanout, "")) {
+        targets.insert(member->heartbeat.datagramEndpoint);
     }
     // The first watcher writes down who has what in force.
     for (const Heartbeat &first :
-         watchersOf(state.own.place, activeIn(state, state.own.place), 1)) {
-        targets.insert(first.datagrams);
+         watchersOf(state.own.dataCentre, activeMembersIn(state, state.own.dataCentre), 1)) {
+        targets.insert(first.datagramEndpoint);
     }
-    targets.erase(state.own.datagrams);
+    targets.erase(state.own.datagramEndpoint);
     for (const Endpoint &target : targets) {
-        output.sends.push_back({target, messageOf(state, settings, SwimKind::Gossip, 0)});
+        output.sends.push_back({target, makeMessage(state, settings, SwimKind::Gossip, 0)});
     }
     return output;
 }
@@ -141,19 +142,19 @@
 {
     SwimOutput output;
     SwimMessage message;
-    message.from = state.own;
+    message.sender = state.own;
     const MemberUpdate update{state.own, gone ? MemberState::Gone : MemberState::Alive};
     message.updates = {update};
     if (!gone) {
-        spread(state, settings, update);
+        enqueueRumour(state, settings, update);
     }
     for (const auto &[id, member] : state.members) {
-        if (isLive(member) && member.last.place == state.own.place) {
-            output.sends.push_back({member.last.datagrams, message});
+        if (isLive(member) && member.heartbeat.dataCentre == state.own.dataCentre) {
+            output.sends.push_back({member.heartbeat.datagramEndpoint, message});
         }
     }
-    for (const Member *member : pick(state, false, settings.crossFanout, "")) {
-        output.sends.push_back({member->last.datagrams, message});
+    for (const Member *member : sampleMembers(state, false, settings.remoteFanout, "")) {
+        output.sends.push_back({member->heartbeat.datagramEndpoint, message});
     }
     return output;
 }
--- a/src/membership/vmlist.cpp
+++ b/src/membership/vmlist.cpp
@@ -11,43 +11,43 @@
 /// Gone lines older than this against the newest line are forgotten.
 constexpr std::uint64_t goneMilliseconds = 3'600'000;
 
-std::uint32_t hashOfLine(const VmLine &line) noexcept
+std::uint32_t hashOfLine(const VmRecord &line) noexcept
 {
-    const std::uint64_t hash = mixHash(hashOf(line.vm.id), line.stamp);
+    const std::uint64_t hash = mixHash(hashOf(line.vm.id), line.version);
     return static_cast<std::uint32_t>(hash);
 }
 
-bool isShrunk(const VmPolls &polls, const VmList &known, std::size_t polled)
+bool isShrunk(const VmPollState &polls, const VmList &known, std::size_t polled)
 {
     if (polled == 0) {
         return true;
     }
-    const auto live = std::count_if(known.lines.begin(), known.lines.end(),
+    const auto live = std::count_if(known.records.begin(), known.records.end(),
                                     [](const auto &each) { return !each.second.gone; });
-    return polled * 2 < static_cast<std::size_t>(live) && polls.shrunk < shrunkPolls;
+    return polled * 2 < static_cast<std::size_t>(live) && polls.shortPolls < minShortPolls;
 }
 
 /// \returns whether the line \a id, which differs from the shared list, is to be taken.
-bool isSettled(VmPolls &polls, const std::string &id, bool changedHere)
+bool isSettled(VmPollState &polls, const std::string &id, bool changedHere)
 {
-    const bool settled = changedHere || ++polls.differing[id] >= settledPolls;
+    const bool settled = changedHere || ++polls.differingPolls[id] >= minDifferingPolls;
     if (settled) {
-        polls.differing.erase(id);
+        polls.differingPolls.erase(id);
     }
     return settled;
 }
 
-void takeSeen(VmPolls &polls, const VmList &known, const std::map<std::string, Vm> &seen,
-              std::vector<VmLine> &changed)
+void takeSeen(VmPollState &polls, const VmList &known, const std::map<std::string, Vm> &seen,
+              std::vector<VmRecord> &changed)
 {
     for (const auto &[id, vm] : seen) {
-        const auto line = known.lines.find(id);
-        if (line != known.lines.end() && !line->second.gone && line->second.vm == vm) {
-            polls.differing.erase(id);
+        const auto line = known.records.find(id);
+        if (line != known.records.end() && !line->second.gone && line->second.vm == vm) {
+            polls.differingPolls.erase(id);
             continue;
         }
         const auto before = polls.previous.find(id);
-        const bool unknown = line == known.lines.end();
+        const bool unknown = line == known.records.end();
         const bool changedHere =
             !polls.previous.empty() && (before == polls.previous.end() || before->second != vm);
         if (isSettled(polls, id, unknown || changedHere)) {
@@ -56,10 +56,10 @@
     }
 }
 
-void takeMissing(VmPolls &polls, const VmList &known, const std::map<std::string, Vm> &seen,
-                 std::vector<VmLine> &changed)
+void takeMissing(VmPollState &polls, const VmList &known, const std::map<std::string, Vm> &seen,
+                 std::vector<VmRecord> &changed)
 {
-    for (const auto &[id, line] : known.lines) {
+    for (const auto &[id, line] : known.records) {
         if (line.gone || seen.contains(id)) {
             continue;
         }
@@ -71,56 +71,56 @@
 
 } // namespace
 
-std::vector<VmLine> takePoll(VmPolls &polls, const VmList &known, const std::vector<Vm> &polled,
-                             std::uint64_t wallMilliseconds)
+std::vector<VmRecord> detectVmChanges(VmPollState &polls, const VmList &known,
+                                      const std::vector<Vm> &polled, std::uint64_t wallMilliseconds)
 {
     std::map<std::string, Vm> seen;
     for (const Vm &vm : polled) {
         seen[vm.id] = vm;
     }
-    std::vector<VmLine> changed;
+    std::vector<VmRecord> changed;
     takeSeen(polls, known, seen, changed);
     if (isShrunk(polls, known, seen.size())) {
-        ++polls.shrunk;
+        ++polls.shortPolls;
         // What is missing keeps its place among the previous ones, to be judged when the list
         // is whole again.
         for (const auto &[id, vm] : seen) {
             polls.previous[id] = vm;
         }
     } else {
-        polls.shrunk = 0;
+        polls.shortPolls = 0;
         takeMissing(polls, known, seen, changed);
         polls.previous = std::move(seen);
     }
-    std::uint64_t stamp = std::max(wallMilliseconds, known.stamp + 1);
-    for (VmLine &line : changed) {
-        line.stamp = stamp++;
+    std::uint64_t stamp = std::max(wallMilliseconds, known.version + 1);
+    for (VmRecord &line : changed) {
+        line.version = stamp++;
     }
     return changed;
 }
 
-std::size_t mergeLines(VmList &list, const std::vector<VmLine> &lines)
+std::size_t mergeRecords(VmList &list, const std::vector<VmRecord> &lines)
 {
     std::size_t taken = 0;
-    for (const VmLine &line : lines) {
-        VmLine &known = list.lines[line.vm.id];
-        if (known.stamp < line.stamp) {
+    for (const VmRecord &line : lines) {
+        VmRecord &known = list.records[line.vm.id];
+        if (known.version < line.version) {
             known = line;
-            list.stamp = std::max(list.stamp, line.stamp);
+            list.version = std::max(list.version, line.version);
             ++taken;
         }
     }
-    std::erase_if(list.lines, [&list](const auto &each) {
-        return each.second.gone && each.second.stamp + goneMilliseconds < list.stamp;
+    std::erase_if(list.records, [&list](const auto &each) {
+        return each.second.gone && each.second.version + goneMilliseconds < list.version;
     });
     return taken;
 }
 
-std::vector<VmLine> linesAbove(const VmList &list, std::uint64_t stamp)
+std::vector<VmRecord> recordsNewerThan(const VmList &list, std::uint64_t stamp)
 {
-    std::vector<VmLine> result;
-    for (const auto &[id, line] : list.lines) {
-        if (line.stamp > stamp) {
+    std::vector<VmRecord> result;
+    for (const auto &[id, line] : list.records) {
+        if (line.version > stamp) {
             result.push_back(line);
         }
     }
@@ -130,7 +130,7 @@
 std::vector<Vm> vmsOf(const VmList &list)
 {
     std::vector<Vm> result;
-    for (const auto &[id, line] : list.lines) {
+    for (const auto &[id, line] : list.records) {
         if (!line.gone) {
             result.push_back(line.vm);
         }
@@ -141,34 +141,34 @@
 std::uint32_t digestOf(const VmList &list) noexcept
 {
     std::uint32_t digest = 0;
-    for (const auto &[id, line] : list.lines) {
+    for (const auto &[id, line] : list.records) {
         digest ^= line.gone ? 0 : hashOfLine(line);
     }
     return digest;
 }
 
-std::size_t VmTable::poll(VmPolls &polls, const std::vector<Vm> &polled,
-                          std::uint64_t wallMilliseconds)
+std::size_t VmTable::applyPoll(VmPollState &polls, const std::vector<Vm> &polled,
+                               std::uint64_t wallMilliseconds)
 {
     const RankedLock lock(this->mutex);
     const std::size_t taken =
-        mergeLines(this->list, takePoll(polls, this->list, polled, wallMilliseconds));
+        mergeRecords(this->list, detectVmChanges(polls, this->list, polled, wallMilliseconds));
     this->currentDigest = digestOf(this->list);
     return taken;
 }
 
-std::size_t VmTable::merge(const std::vector<VmLine> &lines)
+std::size_t VmTable::merge(const std::vector<VmRecord> &lines)
 {
     const RankedLock lock(this->mutex);
-    const std::size_t taken = mergeLines(this->list, lines);
+    const std::size_t taken = mergeRecords(this->list, lines);
     this->currentDigest = digestOf(this->list);
     return taken;
 }
 
-std::vector<VmLine> VmTable::above(std::uint64_t stamp) const
+std::vector<VmRecord> VmTable::recordsSince(std::uint64_t stamp) const
 {
     const RankedLock lock(this->mutex);
-    return linesAbove(this->list, stamp);
+    return recordsNewerThan(this->list, stamp);
 }
 
 std::vector<Vm> VmTable::vms() const
@@ -177,10 +177,10 @@
     return vmsOf(this->list);
 }
 
-std::uint64_t VmTable::stamp() const
+std::uint64_t VmTable::version() const
 {
     const RankedLock lock(this->mutex);
-    return this->list.stamp;
+    return this->list.version;
 }
 
 std::uint32_t VmTable::digest() const
--- a/src/membership/watchers.cpp
+++ b/src/membership/watchers.cpp
@@ -20,7 +20,7 @@
     std::vector<const Heartbeat *> local;
     std::vector<Candidate> candidates;
     for (const Heartbeat &member : active) {
-        if (member.place == place && !member.leaving) {
+        if (member.dataCentre == place && !member.leaving) {
             local.push_back(&member);
             candidates.push_back({hashOf(member.id), 1.0});
         }
@@ -57,14 +57,14 @@
     return static_cast<std::size_t>(found - watchers.begin());
 }
 
-bool shouldWatch(const WatchSituation &situation) noexcept
+bool shouldWatch(const WatchConditions &situation) noexcept
 {
-    if (situation.isChosen) {
+    if (situation.isChosenWatcher) {
         return true;
     }
     const bool yields = situation.isPlatformBusy && !situation.knowsUpstreams
-                        && situation.knowsOthers && situation.sinceStart < busyPatience;
-    return situation.unserved >= watcherPatience && !yields;
+                        && situation.knowsOthers && situation.sinceStart < startupBackoff;
+    return situation.sinceServedRouter >= watchTakeoverDelay && !yields;
 }
 
 } // namespace plantainswitch
--- a/src/observe/explain.cpp
+++ b/src/observe/explain.cpp
@@ -2,16 +2,16 @@
 
 namespace plantainswitch {
 
-void ExplainTable::keep(Explanation explanation)
+void ExplainTable::record(Explanation explanation)
 {
     const RankedLock lock(this->mutex);
     std::string id = explanation.requestId;
-    if (!this->kept.insert_or_assign(id, std::move(explanation)).second) {
+    if (!this->explanations.insert_or_assign(id, std::move(explanation)).second) {
         return;
     }
     this->order.push_back(std::move(id));
-    if (this->order.size() > keptExplanations) {
-        this->kept.erase(this->order.front());
+    if (this->order.size() > maxExplanations) {
+        this->explanations.erase(this->order.front());
         this->order.pop_front();
     }
 }
@@ -19,8 +19,8 @@
 std::optional<Explanation> ExplainTable::find(const std::string &requestId) const
 {
     const RankedLock lock(this->mutex);
-    const auto found = this->kept.find(requestId);
-    if (found == this->kept.end()) {
+    const auto found = this->explanations.find(requestId);
+    if (found == this->explanations.end()) {
         return std::nullopt;
     }
     return found->second;
--- a/src/observe/linebuffer.cpp
+++ b/src/observe/linebuffer.cpp
@@ -8,7 +8,7 @@
 {
     const std::size_t waiting = this->bytes.size() - this->begin + line.size();
     const std::size_t most =
-        severity < Severity::Warning ? this->limits.ordinaryBytes : this->limits.allBytes;
+        severity < Severity::Warning ? this->limits.maxOrdinaryBytes : this->limits.maxBytes;
     if (waiting > most) {
         ++this->dropped;
         return false;
@@ -22,13 +22,13 @@
     return std::string_view(this->bytes).substr(this->begin);
 }
 
-void LineBuffer::written(std::size_t count)
+void LineBuffer::consume(std::size_t count)
 {
     this->begin += count;
     if (this->begin == this->bytes.size()) {
         this->bytes.clear();
         this->begin = 0;
-    } else if (this->begin > this->limits.allBytes) {
+    } else if (this->begin > this->limits.maxBytes) {
         this->bytes.erase(0, this->begin);
         this->begin = 0;
     }
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -173,13 +173,13 @@
 /// choice changes seldom from page to page.
 void keepBusiest(Chosen &active, PageChoice &choice)
 {
-    if (active.size() > mostWorkspacesOnPage) {
-        const auto end = active.begin() + static_cast<std::ptrdiff_t>(mostWorkspacesOnPage);
+    if (active.size() > maxWorkspacesOnPage) {
+        const auto end = active.begin() + static_cast<std::ptrdiff_t>(maxWorkspacesOnPage);
         std::nth_element(active.begin(), end, active.end(), [](const auto *one, const auto *other) {
             return one->second.count > other->second.count;
         });
-        choice.beyondBound += active.size() - mostWorkspacesOnPage;
-        active.resize(mostWorkspacesOnPage);
+        choice.beyondBound += active.size() - maxWorkspacesOnPage;
+        active.resize(maxWorkspacesOnPage);
         std::sort(active.begin(), active.end(),
                   [](const auto *one, const auto *other) { return one->first < other->first; });
     }
--- a/src/observe/pausedetector.cpp
+++ b/src/observe/pausedetector.cpp
@@ -4,20 +4,20 @@
 
 namespace plantainswitch {
 
-std::optional<Pause> PauseWatch::turn(TimePoint now, Duration uptime, TimePoint due)
+std::optional<Pause> PauseDetector::tick(TimePoint now, Duration uptime, TimePoint due)
 {
     Pause pause;
-    if (this->hasTurned) {
+    if (this->hasTicked) {
         const Duration beyond = (uptime - this->lastUptime) - (now - this->lastNow);
         pause.frozen = std::chrono::duration_cast<Milliseconds>(std::max(beyond, Duration{0}));
         pause.late = std::chrono::duration_cast<Milliseconds>(
             std::max<Duration>(now - this->expected, Duration{0}));
     }
-    this->hasTurned = true;
+    this->hasTicked = true;
     this->lastNow = now;
     this->lastUptime = uptime;
     this->expected = due;
-    return std::max(pause.frozen, pause.late) >= leastPause ? std::optional(pause) : std::nullopt;
+    return std::max(pause.frozen, pause.late) >= minPause ? std::optional(pause) : std::nullopt;
 }
 
 } // namespace plantainswitch
--- a/src/observe/timeline.cpp
+++ b/src/observe/timeline.cpp
@@ -168,7 +168,7 @@
     Hint{"caller-gone", "nothing here: the caller left"},
 };
 
-std::string_view hintFor(const RequestStory &story)
+std::string_view hintFor(const RequestTimeline &story)
 {
     for (auto step = story.steps.rbegin(); step != story.steps.rend(); ++step) {
         for (const Hint &hint : hints) {
@@ -214,22 +214,22 @@
     return read;
 }
 
-void StoryCollector::take(LogLine line)
+void TimelineCollector::add(LogLine line)
 {
     if (line.valueOf("request") == this->request) {
         this->steps.push_back(line);
     }
     if (!subjectOf(line).empty()) {
-        this->changes.push_back(std::move(line));
+        this->stateChanges.push_back(std::move(line));
     }
 }
 
-RequestStory StoryCollector::story() const
+RequestTimeline TimelineCollector::timeline() const
 {
     const auto isEarlier = [](const LogLine &left, const LogLine &right) {
         return left.time < right.time;
     };
-    RequestStory told;
+    RequestTimeline told;
     told.steps = this->steps;
     std::stable_sort(told.steps.begin(), told.steps.end(), isEarlier);
     // By router: until when beliefs matter, and which upstreams the request met.
@@ -240,7 +240,7 @@
         upstreams.insert(step.valueOf("upstream"));
     }
     std::map<std::pair<std::string, std::string>, LogLine> last;
-    for (const LogLine &change : this->changes) {
+    for (const LogLine &change : this->stateChanges) {
         const auto end = ends.find(change.node);
         const bool matters =
             end != ends.end() && change.time <= end->second
@@ -254,13 +254,13 @@
         }
     }
     for (auto &[key, line] : last) {
-        told.beliefs.push_back(std::move(line));
+        told.knownState.push_back(std::move(line));
     }
-    std::stable_sort(told.beliefs.begin(), told.beliefs.end(), isEarlier);
+    std::stable_sort(told.knownState.begin(), told.knownState.end(), isEarlier);
     return told;
 }
 
-std::string tell(const RequestStory &story)
+std::string formatTimeline(const RequestTimeline &story)
 {
     if (story.steps.empty()) {
         return "no line names this request\n";
@@ -271,7 +271,7 @@
         text += milliseconds(step.time - begin) + "  " + step.node + "  " + textOf(step) + "\n";
     }
     text += "what its routers believed, and how old that was\n";
-    for (const LogLine &belief : story.beliefs) {
+    for (const LogLine &belief : story.knownState) {
         text += milliseconds(begin - belief.time) + "  " + belief.node + "  " + subjectOf(belief)
                 + ": " + textOf(belief) + "\n";
     }
--- a/src/placement/chataffinity.cpp
+++ b/src/placement/chataffinity.cpp
@@ -4,27 +4,28 @@
 
 namespace plantainswitch {
 
-std::optional<ChatPlace> ChatMemory::find(std::uint64_t chat)
+std::optional<ChatLocation> ChatAffinityCache::find(std::uint64_t chat)
 {
-    const auto found = this->places.find(chat);
-    if (found == this->places.end()) {
+    const auto found = this->locations.find(chat);
+    if (found == this->locations.end()) {
         return std::nullopt;
     }
-    this->order.splice(this->order.begin(), this->order, found->second);
+    this->recency.splice(this->recency.begin(), this->recency, found->second);
     return *found->second;
 }
 
-std::optional<ChatPlace> ChatMemory::peek(std::uint64_t chat) const
+std::optional<ChatLocation> ChatAffinityCache::peek(std::uint64_t chat) const
 {
-    const auto found = this->places.find(chat);
-    return found == this->places.end() ? std::nullopt : std::optional<ChatPlace>(*found->second);
+    const auto found = this->locations.find(chat);
+    return found == this->locations.end() ? std::nullopt
+                                          : std::optional<ChatLocation>(*found->second);
 }
 
-std::vector<std::uint64_t> ChatMemory::recent(std::size_t most) const
+std::vector<std::uint64_t> ChatAffinityCache::mostRecent(std::size_t most) const
 {
     std::vector<std::uint64_t> result;
-    result.reserve(std::min(most, this->order.size()));
-    for (const ChatPlace &place : this->order) {
+    result.reserve(std::min(most, this->recency.size()));
+    for (const ChatLocation &place : this->recency) {
         if (result.size() == most) {
             break;
         }
@@ -33,27 +34,27 @@
     return result;
 }
 
-bool ChatMemory::keep(std::uint64_t chat, UpstreamId upstream, std::size_t capacity)
+bool ChatAffinityCache::record(std::uint64_t chat, UpstreamId upstream, std::size_t capacity)
 {
-    const auto found = this->places.find(chat);
-    if (found != this->places.end()) {
-        ChatPlace &known = *found->second;
+    const auto found = this->locations.find(chat);
+    if (found != this->locations.end()) {
+        ChatLocation &known = *found->second;
         const bool hasMoved = known.latest != upstream;
         if (hasMoved) {
-            known.before = known.latest;
+            known.previous = known.latest;
             known.latest = upstream;
         }
-        this->order.splice(this->order.begin(), this->order, found->second);
+        this->recency.splice(this->recency.begin(), this->recency, found->second);
         return hasMoved;
     }
     if (capacity == 0) {
         return false;
     }
-    this->order.push_front({chat, upstream, 0});
-    this->places[chat] = this->order.begin();
-    while (this->order.size() > capacity) {
-        this->places.erase(this->order.back().chat);
-        this->order.pop_back();
+    this->recency.push_front({chat, upstream, 0});
+    this->locations[chat] = this->recency.begin();
+    while (this->recency.size() > capacity) {
+        this->locations.erase(this->recency.back().chat);
+        this->recency.pop_back();
     }
     return true;
 }
--- a/src/placement/coordinator.cpp
+++ b/src/placement/coordinator.cpp
@@ -37,8 +37,8 @@
 
 bool isShunned(const ShardState &state, UpstreamId id, TimePoint now)
 {
-    const auto found = state.engines.find(id);
-    return found != state.engines.end() && found->second.shunnedUntil > now;
+    const auto found = state.ejections.find(id);
+    return found != state.ejections.end() && found->second.ejectedUntil > now;
 }
 
 /// An engine that failed a request looks empty and would draw the next ones; the asker's list of
@@ -46,7 +46,7 @@
 void shun(ShardState &state, const std::vector<UpstreamId> &failed, TimePoint now)
 {
     for (const UpstreamId id : failed) {
-        state.engines[id].shunnedUntil = now + shunPeriod;
+        state.ejections[id].ejectedUntil = now + ejectionPeriod;
     }
 }
 
@@ -63,7 +63,7 @@
     return result.empty() ? ready : result;
 }
 
-std::vector<Candidate> candidatesOf(const SlotAsk &ask, const std::vector<UpstreamId> &engines)
+std::vector<Candidate> candidatesOf(const SlotRequest &ask, const std::vector<UpstreamId> &engines)
 {
     std::vector<Candidate> result;
     result.reserve(engines.size());
@@ -77,7 +77,8 @@
 
 /// \returns the engines in the order in which the chat prefers them: where it ran last, where it
 /// ran before, then by its hash.
-std::vector<UpstreamId> preferredOrder(const std::optional<ChatPlace> &place, const SlotAsk &ask,
+std::vector<UpstreamId> preferredOrder(const std::optional<ChatLocation> &place,
+                                       const SlotRequest &ask,
                                        const std::vector<Candidate> &candidates)
 {
     std::vector<UpstreamId> result;
@@ -88,7 +89,7 @@
     if (!place) {
         return result;
     }
-    for (const UpstreamId known : {place->before, place->latest}) {
+    for (const UpstreamId known : {place->previous, place->latest}) {
         const auto found = std::find(result.begin(), result.end(), known);
         if (found != result.end()) {
             std::rotate(result.begin(), found, found + 1);
@@ -130,13 +131,13 @@
     return *least;
 }
 
-std::optional<UpstreamId> chooseEngine(ShardState &state, const SlotAsk &ask,
-                                       const std::vector<Candidate> &candidates, ChooseRule rule,
-                                       const Limits &limits)
+std::optional<UpstreamId> chooseEngine(ShardState &state, const SlotRequest &ask,
+                                       const std::vector<Candidate> &candidates,
+                                       EngineSelectionRule rule, const Limits &limits)
 {
-    const std::optional<ChatPlace> place = state.memory.find(ask.chat);
+    const std::optional<ChatLocation> place = state.affinity.find(ask.chat);
     const std::vector<UpstreamId> order = preferredOrder(place, ask, candidates);
-    if (rule == ChooseRule::HashOrder) {
+    if (rule == EngineSelectionRule::HashOrder) {
         return firstBelow(state, order, limits.hard);
     }
     // A chat that no engine has cached costs nothing to move: new chats even out the load, so
@@ -144,7 +145,7 @@
     // finds them without being told.
     if (place) {
         for (const UpstreamId id : order) {
-            const bool cached = id == place->latest || id == place->before;
+            const bool cached = id == place->latest || id == place->previous;
             if (cached && loadOf(state, id) < limits.inner) {
                 return id;
             }
@@ -156,29 +157,29 @@
 }
 
 Limits limitsOf(const ShardState &state, const std::vector<UpstreamId> &serving,
-                const GrantView &view, TimePoint now)
+                const GrantContext &view, TimePoint now)
 {
     std::uint64_t total = totalLoad(state, serving);
     std::size_t engines = serving.size();
     const double ownMean = static_cast<double>(total) / static_cast<double>(engines);
-    for (const auto &[shard, part] : state.others) {
-        if (now - part.heard < poolPartLife) {
+    for (const auto &[shard, part] : state.peerShards) {
+        if (now - part.receivedAt < summaryLifetime) {
             // The summary is up to a second old. In a surge it would hold the bound down, and
             // every shard would send its requests to the others.
-            const double risen = std::max(0.0, ownMean - part.ownMean) * part.engines;
+            const double risen = std::max(0.0, ownMean - part.localMeanAtReceipt) * part.engines;
             total += part.load + static_cast<std::uint64_t>(risen);
             engines += part.engines;
         }
     }
     const auto limit = [&](double multiple) {
-        BoundSettings settings = view.settings;
-        settings.multiple = std::min(multiple, settings.multiple);
+        LoadBoundSettings settings = view.settings;
+        settings.loadFactor = std::min(multiple, settings.loadFactor);
         return loadBound(settings, total, engines);
     };
     // Carefulness touches the promise alone; the inner limits are only preferences.
-    const std::uint32_t hard = loadBound(view.settings, total, engines, view.careful);
-    return {std::min(limit(view.settings.newMultiple), hard),
-            std::min(limit(view.settings.innerMultiple), hard), hard};
+    const std::uint32_t hard = loadBound(view.settings, total, engines, view.conservative);
+    return {std::min(limit(view.settings.newChatLoadFactor), hard),
+            std::min(limit(view.settings.affinityLoadFactor), hard), hard};
 }
 
 } // namespace
@@ -190,49 +191,49 @@
 
 ShardId shardIdOf(const Shard &shard) noexcept
 {
-    return mixHash(mixHash(hashOf(shard.service), hashOf(shard.place)), shard.number);
+    return mixHash(mixHash(hashOf(shard.service), hashOf(shard.dataCentre)), shard.number);
 }
 
-std::uint32_t loadBound(const BoundSettings &settings, std::uint64_t total, std::size_t engines,
+std::uint32_t loadBound(const LoadBoundSettings &settings, std::uint64_t total, std::size_t engines,
                         bool careful) noexcept
 {
     if (engines == 0) {
         return 0;
     }
     const double mean = static_cast<double>(total + 1) / static_cast<double>(engines);
-    const double allowed = settings.multiple * mean;
+    const double allowed = settings.loadFactor * mean;
     // What an even spread needs: without it, small loads would leave no engine to grant.
     const double even = std::floor(static_cast<double>(total) / static_cast<double>(engines)) + 1.0;
     const double rounded = careful ? std::max(even, std::floor(allowed)) : std::ceil(allowed);
     return std::min(static_cast<std::uint32_t>(rounded), settings.capacity);
 }
 
-SlotReply grantSlot(ShardState &state, std::uint64_t router, const SlotAsk &ask,
-                    const GrantView &view, TimePoint now)
+SlotReply grantSlot(ShardState &state, std::uint64_t router, const SlotRequest &ask,
+                    const GrantContext &view, TimePoint now)
 {
-    const SlotKey key{router, ask.askId};
+    const SlotKey key{router, ask.requestId};
     const auto known = state.slots.find(key);
     if (known != state.slots.end()) {
-        return {ask.askId, SlotVerdict::Granted, known->second.upstream};
+        return {ask.requestId, SlotVerdict::Granted, known->second.upstream};
     }
     shun(state, ask.avoid, now);
-    state.ready = static_cast<std::uint32_t>(view.ready.size());
-    const std::vector<UpstreamId> serving = inService(state, view.ready, now);
+    state.readyEngines = static_cast<std::uint32_t>(view.readyEngines.size());
+    const std::vector<UpstreamId> serving = inService(state, view.readyEngines, now);
     const std::vector<Candidate> candidates = candidatesOf(ask, serving);
     if (candidates.empty()) {
-        return {ask.askId, SlotVerdict::Empty, 0};
+        return {ask.requestId, SlotVerdict::Empty, 0};
     }
-    const auto upstream = chooseEngine(state, ask, candidates, view.settings.rule,
+    const auto upstream = chooseEngine(state, ask, candidates, view.settings.selectionRule,
                                        limitsOf(state, serving, view, now));
     if (!upstream) {
-        return {ask.askId, SlotVerdict::Overflow, 0};
+        return {ask.requestId, SlotVerdict::Overflow, 0};
     }
     ++state.loads[*upstream];
     state.slots.emplace(key, Slot{*upstream, ask.fingerprint, now});
-    if (state.memory.keep(ask.chat, *upstream, view.settings.rememberedChats)) {
-        noteMoved(state.outbox, ask.chat);
+    if (state.affinity.record(ask.chat, *upstream, view.settings.maxRememberedChats)) {
+        recordMovedChat(state.hintOutbox, ask.chat);
     }
-    return {ask.askId, SlotVerdict::Granted, *upstream};
+    return {ask.requestId, SlotVerdict::Granted, *upstream};
 }
 
 void releaseSlot(ShardState &state, const SlotKey &key)
@@ -258,10 +259,10 @@
     }
 }
 
-bool mustBeCareful(const ShardState &state, bool own, TimePoint now) noexcept
+bool needsConservativeBound(const ShardState &state, bool own, TimePoint now) noexcept
 {
-    const bool isNew = now - state.since < settlePeriod;
-    const bool hasRival = state.rivalHeard && now - *state.rivalHeard < poolPartLife;
+    const bool isNew = now - state.coordinatingSince < slotLearningPeriod;
+    const bool hasRival = state.rivalSeenAt && now - *state.rivalSeenAt < summaryLifetime;
     return !own || isNew || hasRival;
 }
 
--- a/src/placement/coordinatortable.cpp
+++ b/src/placement/coordinatortable.cpp
@@ -5,43 +5,43 @@
 
 namespace plantainswitch {
 
-ShardState &KeeperTable::stateOf(const Shard &shard, TimePoint now)
+ShardState &ShardCoordinator::findOrCreateState(const Shard &shard, TimePoint now)
 {
     const auto [found, isNew] = this->shards.try_emplace(shardIdOf(shard));
     ShardState &state = found->second;
     if (isNew) {
         state.shard = shard;
-        state.since = now;
+        state.coordinatingSince = now;
         if (auto known = this->parked.extract(found->first)) {
-            state.memory = std::move(known.mapped().memory);
+            state.affinity = std::move(known.mapped().affinity);
         }
     }
     state.lastUsed = now;
     return state;
 }
 
-SlotReply KeeperTable::grant(std::uint64_t router, const SlotAsk &ask, GrantView view, bool own,
-                             TimePoint now)
+SlotReply ShardCoordinator::grant(std::uint64_t router, const SlotRequest &ask, GrantContext view,
+                                  bool own, TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    ShardState &state = this->stateOf(ask.shard, now);
-    view.careful = view.careful || mustBeCareful(state, own, now);
+    ShardState &state = this->findOrCreateState(ask.shard, now);
+    view.conservative = view.conservative || needsConservativeBound(state, own, now);
     return grantSlot(state, router, ask, view, now);
 }
 
-void KeeperTable::release(std::uint64_t router, const SlotRelease &release)
+void ShardCoordinator::release(std::uint64_t router, const SlotRelease &release)
 {
     const RankedLock lock(this->mutex);
     const auto found = this->shards.find(release.shard);
     if (found == this->shards.end()) {
         return;
     }
-    for (const std::uint32_t askId : release.askIds) {
+    for (const std::uint32_t askId : release.requestIds) {
         releaseSlot(found->second, {router, askId});
     }
 }
 
-void KeeperTable::releaseRouter(std::uint64_t router)
+void ShardCoordinator::releaseRouter(std::uint64_t router)
 {
     const RankedLock lock(this->mutex);
     for (auto &[id, state] : this->shards) {
@@ -49,7 +49,7 @@
     }
 }
 
-bool KeeperTable::differs(std::uint64_t router, const SlotDigest &digest, TimePoint now)
+bool ShardCoordinator::checkDigest(std::uint64_t router, const SlotDigest &digest, TimePoint now)
 {
     const RankedLock lock(this->mutex);
     const auto found = this->shards.find(digest.shard);
@@ -57,77 +57,80 @@
         return digest.count > 0;
     }
     found->second.lastUsed = now;
-    return differsFrom(found->second, router, digest);
+    return digestDiffers(found->second, router, digest);
 }
 
-void KeeperTable::takeList(std::uint64_t sender, const SlotList &list, TimePoint now)
+void ShardCoordinator::receiveList(std::uint64_t sender, const SlotList &list, TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    applyList(this->stateOf(list.shard, now), list, list.router == sender, now);
+    applySlotList(this->findOrCreateState(list.shard, now), list, list.router == sender, now);
 }
 
-void KeeperTable::takeSummary(const ShardSummary &summary, TimePoint now)
+void ShardCoordinator::receiveSummary(const ShardSummary &summary, TimePoint now)
 {
     const RankedLock lock(this->mutex);
     const ShardId told = shardIdOf(summary.shard);
     for (auto &[id, state] : this->shards) {
         if (id == told) {
-            state.rivalHeard = now;
+            state.rivalSeenAt = now;
         } else if (state.shard.service == summary.shard.service
-                   && state.shard.place == summary.shard.place) {
-            const double own = state.ready == 0 ? 0.0
-                                                : static_cast<double>(state.slots.size())
-                                                      / static_cast<double>(state.ready);
-            state.others[told] = {summary.load, summary.engines, now, own};
+                   && state.shard.dataCentre == summary.shard.dataCentre) {
+            const double own = state.readyEngines == 0
+                                   ? 0.0
+                                   : static_cast<double>(state.slots.size())
+                                         / static_cast<double>(state.readyEngines);
+            state.peerShards[told] = {summary.load, summary.engines, now, own};
         }
     }
 }
 
-std::vector<ShardSummary> KeeperTable::summaries(TimePoint now)
+std::vector<ShardSummary> ShardCoordinator::summaries(TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    this->forgetUnused(now);
+    this->parkIdleShards(now);
     std::vector<ShardSummary> result;
     for (const auto &[id, state] : this->shards) {
-        result.push_back({state.shard, state.slots.size(), state.ready});
+        result.push_back({state.shard, state.slots.size(), state.readyEngines});
     }
     return result;
 }
 
-KeeperTable::ParkedMemory &KeeperTable::parkedOf(ShardId shard, TimePoint now)
+ShardCoordinator::ParkedAffinity &ShardCoordinator::findOrCreateParked(ShardId shard, TimePoint now)
 {
-    if (!this->parked.contains(shard) && this->parked.size() >= mostParkedShards) {
+    if (!this->parked.contains(shard) && this->parked.size() >= maxParkedShards) {
         this->parked.erase(std::min_element(
             this->parked.begin(), this->parked.end(), [](const auto &first, const auto &second) {
                 return first.second.lastUsed < second.second.lastUsed;
             }));
     }
-    ParkedMemory &result = this->parked[shard];
+    ParkedAffinity &result = this->parked[shard];
     result.lastUsed = now;
     return result;
 }
 
-void KeeperTable::forgetUnused(TimePoint now)
+void ShardCoordinator::parkIdleShards(TimePoint now)
 {
     for (auto each = this->shards.begin(); each != this->shards.end();) {
-        if (now - each->second.lastUsed <= unusedLife) {
+        if (now - each->second.lastUsed <= idleShardTimeout) {
             ++each;
             continue;
         }
         // Its chats come back when the keeper changes again, and the slots' end is no end of them.
-        this->parkedOf(each->first, now).memory = std::move(each->second.memory);
+        this->findOrCreateParked(each->first, now).affinity = std::move(each->second.affinity);
         each = this->shards.erase(each);
     }
 }
 
-std::vector<HintSending> KeeperTable::hints(const Endpoint &self,
-                                            const std::vector<Heartbeat> &active, TimePoint now)
+std::vector<AddressedHints> ShardCoordinator::takeHints(const Endpoint &self,
+                                                        const std::vector<Heartbeat> &active,
+                                                        TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    std::vector<HintSending> result;
+    std::vector<AddressedHints> result;
     for (auto &[id, state] : this->shards) {
-        const auto targets = hintTargets(state.outbox, state.shard, active, self, now);
-        for (const ChatHints &hints : nextHints(state.outbox, id, state.memory, targets)) {
+        const auto targets = hintTargets(state.hintOutbox, state.shard, active, self, now);
+        for (const ChatHints &hints :
+             takeNextHints(state.hintOutbox, id, state.affinity, targets)) {
             for (const Endpoint &target : targets) {
                 result.push_back({target, hints});
             }
@@ -136,35 +139,36 @@
     return result;
 }
 
-std::vector<HintSending> KeeperTable::handOverHints(const std::vector<Heartbeat> &others) const
+std::vector<AddressedHints>
+ShardCoordinator::handOverHints(const std::vector<Heartbeat> &others) const
 {
     const RankedLock lock(this->mutex);
-    std::vector<HintSending> result;
+    std::vector<AddressedHints> result;
     for (const auto &[id, state] : this->shards) {
-        const auto next = keeperOf(state.shard, others);
+        const auto next = coordinatorOf(state.shard, others);
         if (!next) {
             continue;
         }
-        for (ChatHints &hints : allHints(id, state.memory)) {
-            result.push_back({next->datagrams, std::move(hints)});
+        for (ChatHints &hints : allHints(id, state.affinity)) {
+            result.push_back({next->datagramEndpoint, std::move(hints)});
         }
     }
     return result;
 }
 
-void KeeperTable::takeHints(const ChatHints &hints, const Endpoint &from, TimePoint now)
+void ShardCoordinator::receiveHints(const ChatHints &hints, const Endpoint &from, TimePoint now)
 {
     const RankedLock lock(this->mutex);
     const auto found = this->shards.find(hints.shard);
     if (found == this->shards.end()) {
-        applyHints(this->parkedOf(hints.shard, now).memory, hints, mostParkedChats);
+        applyHints(this->findOrCreateParked(hints.shard, now).affinity, hints, maxParkedChats);
         return;
     }
-    noteTeller(found->second.outbox, from, now);
-    applyHints(found->second.memory, hints, BoundSettings{}.rememberedChats);
+    recordPeerCoordinator(found->second.hintOutbox, from, now);
+    applyHints(found->second.affinity, hints, LoadBoundSettings{}.maxRememberedChats);
 }
 
-std::vector<SlotList> KeeperTable::lists() const
+std::vector<SlotList> ShardCoordinator::slotLists() const
 {
     const RankedLock lock(this->mutex);
     std::vector<SlotList> result;
@@ -175,14 +179,14 @@
         }
         for (const auto &[router, slots] : held) {
             const std::uint32_t below = slots.rbegin()->first + 1;
-            const auto lists = listsOf(state.shard, router, slots, below);
+            const auto lists = splitIntoLists(state.shard, router, slots, below);
             result.insert(result.end(), lists.begin(), lists.end());
         }
     }
     return result;
 }
 
-std::size_t KeeperTable::slotCount() const
+std::size_t ShardCoordinator::slotCount() const
 {
     const RankedLock lock(this->mutex);
     std::size_t count = 0;
@@ -192,8 +196,8 @@
     return count;
 }
 
-std::vector<std::pair<UpstreamId, std::uint64_t>> KeeperTable::running(ShardId shard,
-                                                                       const SlotKey &except) const
+std::vector<std::pair<UpstreamId, std::uint64_t>>
+ShardCoordinator::runningRequests(ShardId shard, const SlotKey &except) const
 {
     const RankedLock lock(this->mutex);
     std::vector<std::pair<UpstreamId, std::uint64_t>> result;
@@ -209,7 +213,7 @@
     return result;
 }
 
-std::map<UpstreamId, std::uint32_t> KeeperTable::loads(ShardId shard) const
+std::map<UpstreamId, std::uint32_t> ShardCoordinator::loads(ShardId shard) const
 {
     const RankedLock lock(this->mutex);
     const auto found = this->shards.find(shard);
--- a/src/placement/plan.cpp
+++ b/src/placement/plan.cpp
@@ -13,11 +13,11 @@
     return shards <= 1 ? 0 : static_cast<std::uint32_t>(mixHash(upstream, 0) % shards);
 }
 
-std::vector<UpstreamId> readyOf(const UpstreamTable &upstreams, const Shard &shard,
-                                std::uint32_t shards, TimePoint now)
+std::vector<UpstreamId> readyUpstreamsOf(const UpstreamTable &upstreams, const Shard &shard,
+                                         std::uint32_t shards, TimePoint now)
 {
     std::vector<UpstreamId> result;
-    for (const Upstream &upstream : upstreams.ready(shard.service, shard.place, now)) {
+    for (const Upstream &upstream : upstreams.ready(shard.service, shard.dataCentre, now)) {
         if (shardNumberOf(upstream.shortId, shards) == shard.number) {
             result.push_back(upstream.shortId);
         }
@@ -25,13 +25,13 @@
     return result;
 }
 
-std::optional<PlacementPlan> planPlacement(const Admission &admission, std::uint64_t chat,
+std::optional<PlacementPlan> planPlacement(const Authorization &admission, std::uint64_t chat,
                                            const UpstreamTable &upstreams, TimePoint now,
                                            Reason &reason)
 {
     std::vector<Shard> shards;
     std::vector<Candidate> candidates;
-    for (const std::string &place : admission.places) {
+    for (const std::string &place : admission.dataCentres) {
         std::map<std::uint32_t, double> engines;
         for (const Upstream &upstream : upstreams.ready(admission.service, place, now)) {
             engines[shardNumberOf(upstream.shortId, admission.serviceEntry.shards)] += 1.0;
@@ -52,20 +52,20 @@
     return plan;
 }
 
-void preferLivePlaces(PlacementPlan &plan, const std::vector<Heartbeat> &active)
+void preferLiveDataCentres(PlacementPlan &plan, const std::vector<Heartbeat> &active)
 {
     std::stable_partition(plan.shards.begin(), plan.shards.end(), [&active](const Shard &shard) {
         return std::any_of(active.begin(), active.end(), [&shard](const Heartbeat &member) {
-            return member.place == shard.place;
+            return member.dataCentre == shard.dataCentre;
         });
     });
 }
 
-std::vector<Heartbeat> keepersOf(const Shard &shard, const std::vector<Heartbeat> &active)
+std::vector<Heartbeat> coordinatorsOf(const Shard &shard, const std::vector<Heartbeat> &active)
 {
     std::vector<const Heartbeat *> local;
     for (const Heartbeat &member : active) {
-        if (member.place == shard.place) {
+        if (member.dataCentre == shard.dataCentre) {
             local.push_back(&member);
         }
     }
@@ -87,9 +87,9 @@
     return result;
 }
 
-std::optional<Heartbeat> keeperOf(const Shard &shard, const std::vector<Heartbeat> &active)
+std::optional<Heartbeat> coordinatorOf(const Shard &shard, const std::vector<Heartbeat> &active)
 {
-    const std::vector<Heartbeat> keepers = keepersOf(shard, active);
+    const std::vector<Heartbeat> keepers = coordinatorsOf(shard, active);
     return keepers.empty() ? std::nullopt : std::optional(keepers.front());
 }
 
--- a/src/placement/slotsync.cpp
+++ b/src/placement/slotsync.cpp
@@ -10,7 +10,7 @@
 {
     std::map<std::uint32_t, UpstreamId> listed;
     for (const ListedSlot &slot : list.slots) {
-        listed.emplace(slot.askId, slot.upstream);
+        listed.emplace(slot.requestId, slot.upstream);
     }
     std::vector<SlotKey> gone;
     const auto end = state.slots.lower_bound({list.router, list.below});
@@ -36,31 +36,32 @@
             break;
         }
         ++digest.count;
-        digest.mix ^= mixHash(askId, upstream);
+        digest.hash ^= mixHash(askId, upstream);
     }
     return digest;
 }
 
-bool differsFrom(const ShardState &state, std::uint64_t router, const SlotDigest &digest)
+bool digestDiffers(const ShardState &state, std::uint64_t router, const SlotDigest &digest)
 {
     SlotDigest own{digest.shard, digest.below, 0, 0};
     const auto end = state.slots.lower_bound({router, digest.below});
     for (auto each = state.slots.lower_bound({router, 0}); each != end; ++each) {
         ++own.count;
-        own.mix ^= mixHash(each->first.second, each->second.upstream);
+        own.hash ^= mixHash(each->first.second, each->second.upstream);
     }
-    return own.count != digest.count || own.mix != digest.mix;
+    return own.count != digest.count || own.hash != digest.hash;
 }
 
-std::vector<SlotList> listsOf(const Shard &shard, std::uint64_t router,
-                              const std::map<std::uint32_t, UpstreamId> &held, std::uint32_t below)
+std::vector<SlotList> splitIntoLists(const Shard &shard, std::uint64_t router,
+                                     const std::map<std::uint32_t, UpstreamId> &held,
+                                     std::uint32_t below)
 {
     std::vector<SlotList> result{{shard, router, 0, below, {}}};
     for (const auto &[askId, upstream] : held) {
         if (askId >= below) {
             break;
         }
-        if (result.back().slots.size() == slotsInList) {
+        if (result.back().slots.size() == maxSlotsPerList) {
             result.back().below = askId;
             result.push_back({shard, router, askId, below, {}});
         }
@@ -69,13 +70,13 @@
     return result;
 }
 
-void applyList(ShardState &state, const SlotList &list, bool whole, TimePoint now)
+void applySlotList(ShardState &state, const SlotList &list, bool whole, TimePoint now)
 {
     if (whole) {
         releaseUnlisted(state, list);
     }
     for (const ListedSlot &slot : list.slots) {
-        const SlotKey key{list.router, slot.askId};
+        const SlotKey key{list.router, slot.requestId};
         if (state.slots.emplace(key, Slot{slot.upstream, 0, now}).second) {
             ++state.loads[slot.upstream];
         }
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -19,8 +19,9 @@
 
 double admittedDelay(const AdmissionRequest &request, const AdmissionPolicy &policy)
 {
-    const double objectives = std::max(
-        policy.minObjectives, policy.maxObjectives * std::pow(policy.rankShare, request.rank));
+    const double objectives =
+        std::max(policy.minObjectives,
+                 policy.maxObjectives * std::pow(policy.priorityDecay, request.priority));
     return objectives * static_cast<double>(request.objective.count());
 }
 
@@ -28,9 +29,9 @@
 Milliseconds retryAfter(const AdmissionRequest &request)
 {
     constexpr std::uint64_t steps = 1024;
-    const double spread = 1.0 + static_cast<double>(request.hash % steps) / steps;
+    const double spread = 1.0 + static_cast<double>(request.jitterSeed % steps) / steps;
     const double excess = static_cast<double>((request.expectedDelay - request.objective).count());
-    const double delay = spread * excess * (1.0 + rankDelay * request.rank);
+    const double delay = spread * excess * (1.0 + rankDelay * request.priority);
     return Milliseconds{static_cast<std::int64_t>(std::clamp(delay, minRetryAfter, maxRetryAfter))};
 }
 
@@ -41,12 +42,12 @@
     return verdictNames.at(static_cast<std::size_t>(verdict));
 }
 
-Admittance admit(const AdmissionRequest &request, const AdmissionPolicy &policy)
+AdmissionDecision admit(const AdmissionRequest &request, const AdmissionPolicy &policy)
 {
     if (!policy.enabled || request.occupancy < policy.minOccupancy) {
         return {};
     }
-    if (request.expectedDelay > request.patience) {
+    if (request.expectedDelay > request.remainingTimeout) {
         return {AdmissionVerdict::TooLate, retryAfter(request)};
     }
     const bool hasObjective = request.objective.count() > 0;
--- a/src/routing/enginecoordinator.cpp
+++ b/src/routing/enginecoordinator.cpp
@@ -8,49 +8,53 @@
 
 /// Share of a prompt's tokens that belong to parts the engine hasn't read; parts are taken as
 /// alike, since only their number is asked for.
-double uncachedOf(const EngineQuestion &question, std::size_t known)
+double uncachedOf(const EngineGrantRequest &question, std::size_t known)
 {
-    if (question.chain.empty()) {
-        return question.tokens;
+    if (question.prefixHashes.empty()) {
+        return question.promptTokens;
     }
-    const double share = static_cast<double>(question.chain.size() - known)
-                         / static_cast<double>(question.chain.size());
-    return share * question.tokens;
+    const double share = static_cast<double>(question.prefixHashes.size() - known)
+                         / static_cast<double>(question.prefixHashes.size());
+    return share * question.promptTokens;
 }
 
 } // namespace
 
-EngineAnswer EngineKeeper::ask(const EngineQuestion &question, std::uint32_t told, TimePoint now)
+EngineGrantReply EngineCoordinator::requestGrant(const EngineGrantRequest &question,
+                                                 std::uint32_t told, TimePoint now)
 {
-    const auto [found, isNew] = this->engines.try_emplace(question.life);
+    const auto [found, isNew] = this->engines.try_emplace(question.incarnation);
     Engine &engine = found->second;
     if (isNew) {
-        engine.keptSince = now;
+        engine.coordinatedSince = now;
         engine.unreadAt = now;
     }
     const double passed = std::chrono::duration<double, std::milli>(now - engine.unreadAt).count();
-    engine.unread = std::max(0.0, engine.unread - passed * this->tokensPerMillisecond);
+    engine.pendingPrefill =
+        std::max(0.0, engine.pendingPrefill - passed * this->tokensPerMillisecond);
     engine.unreadAt = now;
-    const std::size_t known = this->memory.knownParts(question.chain, question.life, now);
-    EngineAnswer answer;
-    answer.knownParts = static_cast<std::uint32_t>(known);
-    answer.unreadTokens = engine.unread;
+    const std::size_t known =
+        this->prefixIndex.cachedParts(question.prefixHashes, question.incarnation, now);
+    EngineGrantReply answer;
+    answer.cachedParts = static_cast<std::uint32_t>(known);
+    answer.pendingPrefillTokens = engine.pendingPrefill;
     answer.running = static_cast<std::uint32_t>(engine.grants.size());
-    if (now - engine.keptSince < inheritSpan) {
+    if (now - engine.coordinatedSince < takeoverPeriod) {
         answer.running = std::max(answer.running, told);
     }
-    if (answer.running + 1.0 > question.bound) {
+    if (answer.running + 1.0 > question.loadBound) {
         return answer;
     }
     answer.granted = true;
     answer.running += 1;
-    engine.grants[{question.router, question.number}] = now;
-    engine.unread += uncachedOf(question, known);
-    this->memory.note(question.chain, question.life, now);
+    engine.grants[{question.router, question.requestId}] = now;
+    engine.pendingPrefill += uncachedOf(question, known);
+    this->prefixIndex.recordUse(question.prefixHashes, question.incarnation, now);
     return answer;
 }
 
-void EngineKeeper::end(const std::string &router, std::uint64_t number, std::uint64_t life)
+void EngineCoordinator::releaseGrant(const std::string &router, std::uint64_t number,
+                                     std::uint64_t life)
 {
     const auto engine = this->engines.find(life);
     if (engine != this->engines.end()) {
@@ -58,8 +62,8 @@
     }
 }
 
-void EngineKeeper::reconcile(const std::string &router, std::uint64_t life, std::uint32_t told,
-                             TimePoint now)
+void EngineCoordinator::reconcile(const std::string &router, std::uint64_t life, std::uint32_t told,
+                                  TimePoint now)
 {
     const auto engine = this->engines.find(life);
     if (engine == this->engines.end()) {
@@ -74,7 +78,7 @@
         ++last;
     }
     for (auto grant = first; counted > told && grant != last;) {
-        if (now - grant->second < lostEndAge) {
+        if (now - grant->second < orphanedGrantTimeout) {
             ++grant;
             continue;
         }
@@ -83,7 +87,7 @@
     }
 }
 
-void EngineKeeper::forgetRouter(const std::string &router)
+void EngineCoordinator::releaseRouter(const std::string &router)
 {
     for (auto &[life, engine] : this->engines) {
         std::erase_if(engine.grants,
@@ -91,14 +95,14 @@
     }
 }
 
-void EngineKeeper::forgetIdle(TimePoint now)
+void EngineCoordinator::removeIdleEngines(TimePoint now)
 {
     std::erase_if(this->engines, [now](const auto &entry) {
-        return entry.second.grants.empty() && now - entry.second.unreadAt > idleEngineAge;
+        return entry.second.grants.empty() && now - entry.second.unreadAt > idleEngineRetention;
     });
 }
 
-std::vector<std::uint64_t> EngineKeeper::livesOf(const std::string &router) const
+std::vector<std::uint64_t> EngineCoordinator::incarnationsGrantedTo(const std::string &router) const
 {
     std::vector<std::uint64_t> lives;
     for (const auto &[life, engine] : this->engines) {
--- a/src/routing/eventstream.cpp
+++ b/src/routing/eventstream.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-bool EventRelay::takeEvent(std::string_view event)
+bool EventRelay::recordEvent(std::string_view event)
 {
     const std::optional<std::uint64_t> id = idOf(event);
     if (id && this->last && *id <= *this->last) {
@@ -65,7 +65,7 @@
     for (std::size_t end = eventEnd(this->partial, this->scanned); end != std::string::npos;
          end = eventEnd(this->partial, begin)) {
         const std::string_view event = std::string_view(this->partial).substr(begin, end - begin);
-        if (!this->takeEvent(event)) {
+        if (!this->recordEvent(event)) {
             return false;
         }
         out.append(event);
@@ -74,7 +74,7 @@
     this->partial.erase(0, begin);
     // The end of an event may begin with the last two bytes.
     this->scanned = this->partial.size() > 2 ? this->partial.size() - 2 : 0;
-    return this->partial.size() <= longestStreamEvent;
+    return this->partial.size() <= maxStreamEventBytes;
 }
 
 } // namespace plantainswitch
--- a/src/routing/fleetretrybudget.cpp
+++ b/src/routing/fleetretrybudget.cpp
@@ -4,11 +4,11 @@
 
 namespace plantainswitch {
 
-FleetRetries::Account &FleetRetries::refill(const std::string &service, std::uint32_t routers,
-                                            TimePoint now)
+FleetRetryBudget::Account &FleetRetryBudget::refill(const std::string &service,
+                                                    std::uint32_t routers, TimePoint now)
 {
     const double share =
-        this->limit.usedPart * this->limit.margin / std::max<std::uint32_t>(routers, 1);
+        this->limit.usableShare * this->limit.margin / std::max<std::uint32_t>(routers, 1);
     const auto [found, isNew] = this->accounts.try_emplace(service);
     Account &account = found->second;
     if (isNew) {
@@ -16,20 +16,20 @@
         account = {share / 2.0, now};
         return account;
     }
-    const double windows = std::chrono::duration<double>(now - account.refilled)
+    const double windows = std::chrono::duration<double>(now - account.refilledAt)
                            / std::chrono::duration<double>(this->limit.window);
     account.tokens = std::min(share / 2.0 + 1.0, account.tokens + windows * share / 2.0);
-    account.refilled = now;
+    account.refilledAt = now;
     return account;
 }
 
-void FleetRetries::earn(const std::string &service, std::uint32_t routers, TimePoint now)
+void FleetRetryBudget::deposit(const std::string &service, std::uint32_t routers, TimePoint now)
 {
     Account &account = this->refill(service, routers, now);
-    account.tokens += this->limit.usedPart * this->limit.ratio;
+    account.tokens += this->limit.usableShare * this->limit.ratio;
 }
 
-bool FleetRetries::spend(const std::string &service, std::uint32_t routers, TimePoint now)
+bool FleetRetryBudget::tryWithdraw(const std::string &service, std::uint32_t routers, TimePoint now)
 {
     Account &account = this->refill(service, routers, now);
     if (account.tokens < 1.0) {
@@ -39,7 +39,7 @@
     return true;
 }
 
-double FleetRetries::left(const std::string &service) const
+double FleetRetryBudget::remaining(const std::string &service) const
 {
     const auto found = this->accounts.find(service);
     return found == this->accounts.end() ? 0.0 : found->second.tokens;
--- a/src/routing/health.cpp
+++ b/src/routing/health.cpp
@@ -21,32 +21,32 @@
         return 1.0;
     }
     const double halfLives =
-        std::chrono::duration<double>(now - then) / std::chrono::duration<double>(blameHalfLife);
+        std::chrono::duration<double>(now - then) / std::chrono::duration<double>(penaltyHalfLife);
     return std::exp2(-halfLives);
 }
 
 void fade(UpstreamHealth &health, TimePoint now)
 {
-    const double rest = fadingSince(health.changedAt, now);
-    health.failureShare *= rest;
+    const double rest = fadingSince(health.updatedAt, now);
+    health.failureRate *= rest;
     health.extraDelay *= rest;
-    health.changedAt = now;
+    health.updatedAt = now;
 }
 
 /// Takes one more silence into account. \returns whether they are enough.
 bool raiseSuspicion(UpstreamHealth &health, TimePoint now)
 {
-    const double halfLives = std::chrono::duration<double>(now - health.suspectedAt)
-                             / std::chrono::duration<double>(suspicionHalfLife);
-    health.suspicion = health.suspicion * std::exp2(-std::max(0.0, halfLives)) + 1.0;
-    health.suspectedAt = now;
-    return health.suspicion >= silencesForDown;
+    const double halfLives = std::chrono::duration<double>(now - health.timeoutScoreAt)
+                             / std::chrono::duration<double>(timeoutScoreHalfLife);
+    health.timeoutScore = health.timeoutScore * std::exp2(-std::max(0.0, halfLives)) + 1.0;
+    health.timeoutScoreAt = now;
+    return health.timeoutScore >= timeoutsForEjection;
 }
 
 bool saysDown(UpstreamFault fault) noexcept
 {
-    return fault == UpstreamFault::Unreachable || fault == UpstreamFault::Broken
-           || fault == UpstreamFault::Silent;
+    return fault == UpstreamFault::Unreachable || fault == UpstreamFault::ConnectionLost
+           || fault == UpstreamFault::TimedOut;
 }
 
 } // namespace
@@ -56,37 +56,38 @@
     return faultNames.at(static_cast<std::size_t>(fault));
 }
 
-Silence judgeSilence(TimePoint sentAt, TimePoint lastHeard) noexcept
+TimeoutCause classifyTimeout(TimePoint sentAt, TimePoint lastHeard) noexcept
 {
-    return lastHeard > sentAt ? Silence::Busy : Silence::Dark;
+    return lastHeard > sentAt ? TimeoutCause::Busy : TimeoutCause::Unresponsive;
 }
 
 void recordFault(UpstreamHealth &health, UpstreamFault fault, TimePoint now)
 {
     fade(health, now);
-    if (fault != UpstreamFault::Full) {
-        health.failureShare += outcomeWeight * (1.0 - health.failureShare);
+    if (fault != UpstreamFault::Rejected) {
+        health.failureRate += outcomeWeight * (1.0 - health.failureRate);
     }
     if (!saysDown(fault)) {
         return;
     }
-    if (fault == UpstreamFault::Silent) {
-        health.ownSilenceAt = now;
+    if (fault == UpstreamFault::TimedOut) {
+        health.ownTimeoutAt = now;
         if (!raiseSuspicion(health, now)) {
             return;
         }
     }
     // A single broken answer may be that request's own; being out of reach is not.
-    health.downInRow += 1;
-    if (fault == UpstreamFault::Broken && health.downInRow < 2) {
+    health.consecutiveDownFaults += 1;
+    if (fault == UpstreamFault::ConnectionLost && health.consecutiveDownFaults < 2) {
         return;
     }
-    health.unreachableInRow = fault == UpstreamFault::Unreachable ? health.unreachableInRow + 1 : 0;
-    const std::uint32_t doublings = std::min(health.downInRow - 1, mostDoublings);
+    health.consecutiveConnectFailures =
+        fault == UpstreamFault::Unreachable ? health.consecutiveConnectFailures + 1 : 0;
+    const std::uint32_t doublings = std::min(health.consecutiveDownFaults - 1, mostDoublings);
     const Milliseconds span =
-        std::min<Milliseconds>(shortestAvoidance * (1 << doublings), longestAvoidance);
-    health.avoidUntil = std::max(health.avoidUntil, now + span);
-    health.ownAvoidUntil = health.avoidUntil;
+        std::min<Milliseconds>(minEjectionTime * (1 << doublings), maxEjectionTime);
+    health.ejectedUntil = std::max(health.ejectedUntil, now + span);
+    health.ownEjectedUntil = health.ejectedUntil;
     if (fault == UpstreamFault::Unreachable) {
         health.unreachableUntil = now + span;
     }
@@ -95,12 +96,12 @@
 void recordSuccess(UpstreamHealth &health, Duration extraDelay, TimePoint now)
 {
     fade(health, now);
-    health.downInRow = 0;
-    health.suspicion = 0.0;
-    health.unreachableInRow = 0;
-    health.avoidUntil = std::min(health.avoidUntil, now);
-    health.ownAvoidUntil = std::min(health.ownAvoidUntil, now);
-    health.failureShare -= outcomeWeight * health.failureShare;
+    health.consecutiveDownFaults = 0;
+    health.timeoutScore = 0.0;
+    health.consecutiveConnectFailures = 0;
+    health.ejectedUntil = std::min(health.ejectedUntil, now);
+    health.ownEjectedUntil = std::min(health.ownEjectedUntil, now);
+    health.failureRate -= outcomeWeight * health.failureRate;
     const double extra =
         std::max(0.0, std::chrono::duration<double, std::milli>(extraDelay).count());
     health.extraDelay += delayWeight * (extra - health.extraDelay);
@@ -108,46 +109,46 @@
 
 bool isNewTimeout(const UpstreamHealth &health, TimePoint since, TimePoint now)
 {
-    return health.ownSilenceAt != TimePoint{} && health.ownSilenceAt >= since
-           && now - health.ownSilenceAt <= 2 * suspicionHalfLife;
+    return health.ownTimeoutAt != TimePoint{} && health.ownTimeoutAt >= since
+           && now - health.ownTimeoutAt <= 2 * timeoutScoreHalfLife;
 }
 
-void recordPeerSilence(UpstreamHealth &health, TimePoint now)
+void recordPeerTimeout(UpstreamHealth &health, TimePoint now)
 {
     if (raiseSuspicion(health, now)) {
-        health.avoidUntil = std::max(health.avoidUntil, now + shortestAvoidance);
+        health.ejectedUntil = std::max(health.ejectedUntil, now + minEjectionTime);
     }
 }
 
-void recordPeerAvoidance(UpstreamHealth &health, TimePoint until, TimePoint now)
+void recordPeerEjection(UpstreamHealth &health, TimePoint until, TimePoint now)
 {
-    health.avoidUntil = std::max(health.avoidUntil, std::min(until, now + longestAvoidance));
+    health.ejectedUntil = std::max(health.ejectedUntil, std::min(until, now + maxEjectionTime));
 }
 
-void recordCutOff(UpstreamHealth &health, TimePoint until) noexcept
+void recordDataCentreUnreachable(UpstreamHealth &health, TimePoint until) noexcept
 {
-    health.unreachableInRow = std::max(health.unreachableInRow, 1U);
+    health.consecutiveConnectFailures = std::max(health.consecutiveConnectFailures, 1U);
     health.unreachableUntil = std::max(health.unreachableUntil, until);
 }
 
-bool isAvoided(const UpstreamHealth &health, TimePoint now) noexcept
+bool isEjected(const UpstreamHealth &health, TimePoint now) noexcept
 {
-    return now < health.avoidUntil;
+    return now < health.ejectedUntil;
 }
 
-std::uint32_t unreachableCount(const UpstreamHealth &health, TimePoint now) noexcept
+std::uint32_t connectFailureCount(const UpstreamHealth &health, TimePoint now) noexcept
 {
-    return now < health.unreachableUntil ? health.unreachableInRow : 0;
+    return now < health.unreachableUntil ? health.consecutiveConnectFailures : 0;
 }
 
-double failureShareOf(const UpstreamHealth &health, TimePoint now) noexcept
+double failureRateOf(const UpstreamHealth &health, TimePoint now) noexcept
 {
-    return health.failureShare * fadingSince(health.changedAt, now);
+    return health.failureRate * fadingSince(health.updatedAt, now);
 }
 
 double extraDelayOf(const UpstreamHealth &health, TimePoint now) noexcept
 {
-    return health.extraDelay * fadingSince(health.changedAt, now);
+    return health.extraDelay * fadingSince(health.updatedAt, now);
 }
 
 } // namespace plantainswitch
--- a/src/routing/peerloads.cpp
+++ b/src/routing/peerloads.cpp
@@ -5,16 +5,16 @@
 void PeerLoads::add(const std::vector<PeerLoad> &loads, int sign)
 {
     for (const PeerLoad &load : loads) {
-        Sum &sum = this->sums[load.life];
+        Total &sum = this->totals[load.incarnation];
         sum.running = sign > 0 ? sum.running + load.running : sum.running - load.running;
-        sum.unread += sign * static_cast<double>(load.unreadTokens);
-        if (sum.running == 0 && sum.unread < 1.0) {
-            this->sums.erase(load.life);
+        sum.pendingPrefillTokens += sign * static_cast<double>(load.pendingPrefillTokens);
+        if (sum.running == 0 && sum.pendingPrefillTokens < 1.0) {
+            this->totals.erase(load.incarnation);
         }
     }
 }
 
-bool PeerLoads::take(const RouterUpdate &update)
+bool PeerLoads::applyUpdate(const RouterUpdate &update)
 {
     Peer &peer = this->peers[update.id];
     const bool older =
@@ -31,7 +31,7 @@
     return true;
 }
 
-void PeerLoads::forget(const std::string &id)
+void PeerLoads::removeRouter(const std::string &id)
 {
     const auto peer = this->peers.find(id);
     if (peer != this->peers.end()) {
@@ -46,10 +46,10 @@
     return found != this->peers.end() && found->second.incarnation == incarnation;
 }
 
-PeerLoads::Sum PeerLoads::at(std::uint64_t life) const
+PeerLoads::Total PeerLoads::totalAt(std::uint64_t life) const
 {
-    const auto found = this->sums.find(life);
-    return found == this->sums.end() ? Sum{} : found->second;
+    const auto found = this->totals.find(life);
+    return found == this->totals.end() ? Total{} : found->second;
 }
 
 } // namespace plantainswitch
--- a/src/routing/prompt.cpp
+++ b/src/routing/prompt.cpp
@@ -18,7 +18,7 @@
     return prompt.parts.empty() ? 0 : tokensOf(prompt) - prompt.parts.back().tokens;
 }
 
-std::vector<std::uint64_t> chainOf(const Prompt &prompt)
+std::vector<std::uint64_t> prefixHashesOf(const Prompt &prompt)
 {
     std::vector<std::uint64_t> chain;
     chain.reserve(prompt.parts.size());
@@ -30,7 +30,7 @@
     return chain;
 }
 
-std::optional<std::uint64_t> sharedChainOf(std::span<const std::uint64_t> chain) noexcept
+std::optional<std::uint64_t> sharedPrefixOf(std::span<const std::uint64_t> chain) noexcept
 {
     // The last part belongs to one request or chat alone.
     return chain.size() > 1 ? std::optional(chain[chain.size() - 2]) : std::nullopt;
--- a/src/routing/reachability.cpp
+++ b/src/routing/reachability.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-std::string_view nameOf(DataCentreReach reach) noexcept
+std::string_view nameOf(DataCentreReachability reach) noexcept
 {
     return reachNames.at(static_cast<std::size_t>(reach));
 }
@@ -22,30 +22,34 @@
                               const RouterContacts &routers, TimePoint now)
 {
     DataCentreEvidence evidence;
-    evidence.updateGap = contact.updateGap;
+    evidence.updateInterval = contact.updateInterval;
     evidence.lastReceived = std::max(contact.lastSeen, connectedAt);
     for (const UpstreamState *const upstream : upstreams) {
-        evidence.lastReceived = std::max(evidence.lastReceived, upstream->lastHeard);
-        evidence.hasFailed = evidence.hasFailed || unreachableCount(upstream->health, now) > 0;
+        evidence.lastReceived = std::max(evidence.lastReceived, upstream->lastReceived);
+        evidence.hasConnectFailures =
+            evidence.hasConnectFailures || connectFailureCount(upstream->health, now) > 0;
     }
-    evidence.localUpdates = routers.localSeenSince(evidence.lastReceived);
+    evidence.localUpdates = routers.localRoutersSeenSince(evidence.lastReceived);
     return evidence;
 }
 
-Milliseconds unresponsiveSpan(Duration updateGap) noexcept
+Milliseconds unresponsiveTimeout(Duration updateGap) noexcept
 {
-    const auto span = std::chrono::duration_cast<Milliseconds>(missedForUnresponsive * updateGap);
-    return std::clamp(span, minUnresponsiveSpan, maxUnresponsiveSpan);
+    const auto span =
+        std::chrono::duration_cast<Milliseconds>(missedUpdatesForUnresponsive * updateGap);
+    return std::clamp(span, minUnresponsiveTimeout, maxUnresponsiveTimeout);
 }
 
-DataCentreReach reachOf(const DataCentreEvidence &evidence, TimePoint now) noexcept
+DataCentreReachability reachabilityOf(const DataCentreEvidence &evidence, TimePoint now) noexcept
 {
     const bool isUnknown = evidence.lastReceived == TimePoint{};
-    const bool isRecent = now - evidence.lastReceived < unresponsiveSpan(evidence.updateGap);
+    const bool isRecent =
+        now - evidence.lastReceived < unresponsiveTimeout(evidence.updateInterval);
     if (isUnknown || isRecent || evidence.localUpdates < minLocalUpdates) {
-        return DataCentreReach::Reachable;
+        return DataCentreReachability::Reachable;
     }
-    return evidence.hasFailed ? DataCentreReach::CutOff : DataCentreReach::Unresponsive;
+    return evidence.hasConnectFailures ? DataCentreReachability::Unreachable
+                                       : DataCentreReachability::Unresponsive;
 }
 
 } // namespace plantainswitch
--- a/src/routing/replica.cpp
+++ b/src/routing/replica.cpp
@@ -19,84 +19,84 @@
     return changeNames.at(static_cast<std::size_t>(change));
 }
 
-Milliseconds suspectedGrace(Milliseconds drainBound) noexcept
+Milliseconds suspectedExpiryGrace(Milliseconds drainBound) noexcept
 {
-    return std::clamp(drainBound - removalSpread, Milliseconds{0}, missingGrace);
+    return std::clamp(drainBound - removalPropagationDelay, Milliseconds{0}, missingGracePeriod);
 }
 
-std::vector<ReplicaEvent> ReplicaDirectory::takeEntry(Replica replica)
+std::vector<ReplicaEvent> ReplicaDirectory::applyEntry(Replica replica)
 {
     this->missing.erase(replica.id);
     const auto known = this->replicas.find(replica.id);
     if (known == this->replicas.end()) {
         const ReplicaChange change =
-            replica.leaving ? ReplicaChange::Leaving : ReplicaChange::Appeared;
+            replica.draining ? ReplicaChange::Draining : ReplicaChange::Added;
         this->replicas.emplace(replica.id, replica);
         return {{change, std::move(replica)}};
     }
     Replica &old = known->second;
-    const bool reborn = old.born != replica.born;
+    const bool reborn = old.startTime != replica.startTime;
     const bool moved = old.endpoint != replica.endpoint || old.service != replica.service;
     // Within one life leaving is never taken back: a list that lags may still say ready.
-    replica.leaving = replica.leaving || (old.leaving && !reborn);
-    const bool startsLeaving = replica.leaving && !old.leaving;
+    replica.draining = replica.draining || (old.draining && !reborn);
+    const bool startsLeaving = replica.draining && !old.draining;
     old = replica;
     std::vector<ReplicaEvent> events;
     if (reborn) {
-        events.push_back({ReplicaChange::Reborn, replica});
+        events.push_back({ReplicaChange::Restarted, replica});
     } else if (moved) {
         events.push_back({ReplicaChange::Moved, replica});
     }
     if (startsLeaving) {
-        events.push_back({ReplicaChange::Leaving, std::move(replica)});
+        events.push_back({ReplicaChange::Draining, std::move(replica)});
     }
     return events;
 }
 
-std::vector<ReplicaEvent> ReplicaDirectory::drop(const std::string &id)
+std::vector<ReplicaEvent> ReplicaDirectory::remove(const std::string &id)
 {
     this->missing.erase(id);
     const auto known = this->replicas.find(id);
     if (known == this->replicas.end()) {
         return {};
     }
-    std::vector<ReplicaEvent> events{{ReplicaChange::Gone, std::move(known->second)}};
+    std::vector<ReplicaEvent> events{{ReplicaChange::Removed, std::move(known->second)}};
     this->replicas.erase(known);
     return events;
 }
 
-std::vector<ReplicaEvent> ReplicaDirectory::miss(const std::string &id, TimePoint keepUntil)
+std::vector<ReplicaEvent> ReplicaDirectory::markMissing(const std::string &id, TimePoint keepUntil)
 {
     const auto known = this->replicas.find(id);
     // Who was leaving did not lapse: it is gone.
-    if (known == this->replicas.end() || known->second.leaving) {
-        return this->drop(id);
+    if (known == this->replicas.end() || known->second.draining) {
+        return this->remove(id);
     }
     this->missing.emplace(id, keepUntil);
     return {};
 }
 
-std::set<std::string> ReplicaDirectory::lapsedServices(const std::vector<std::string> &ids,
-                                                       TimePoint now)
+std::set<std::string> ReplicaDirectory::servicesWithMassExpiry(const std::vector<std::string> &ids,
+                                                               TimePoint now)
 {
     std::map<std::string, std::size_t> lost;
     for (const std::string &id : ids) {
         const auto known = this->replicas.find(id);
-        if (known != this->replicas.end() && !known->second.leaving) {
+        if (known != this->replicas.end() && !known->second.draining) {
             ++lost[known->second.service];
         }
     }
     std::set<std::string> lapsed;
     for (const auto &[service, count] : lost) {
-        auto &times = this->dropped[service];
-        std::erase_if(times, [now](TimePoint when) { return now - when > missingGrace; });
+        auto &times = this->recentRemovals[service];
+        std::erase_if(times, [now](TimePoint when) { return now - when > missingGracePeriod; });
         const auto present = std::count_if(
             this->replicas.begin(), this->replicas.end(), [&service = service](const auto &entry) {
-                return entry.second.service == service && !entry.second.leaving;
+                return entry.second.service == service && !entry.second.draining;
             });
         const std::size_t all = count + times.size();
         const auto before = static_cast<double>(static_cast<std::size_t>(present) + times.size());
-        if (all > 1 && static_cast<double>(all) > lapsedShare * before) {
+        if (all > 1 && static_cast<double>(all) > massExpiryShare * before) {
             lapsed.insert(service);
         } else {
             times.insert(times.end(), count, now);
@@ -105,33 +105,33 @@
     return lapsed;
 }
 
-std::vector<ReplicaEvent> ReplicaDirectory::takeRemovals(const std::vector<std::string> &ids,
-                                                         TimePoint keepUntil, TimePoint now)
+std::vector<ReplicaEvent> ReplicaDirectory::applyRemovals(const std::vector<std::string> &ids,
+                                                          TimePoint keepUntil, TimePoint now)
 {
     const bool keepsAll = keepUntil > now;
     const std::set<std::string> lapsed =
-        keepsAll ? std::set<std::string>{} : this->lapsedServices(ids, now);
+        keepsAll ? std::set<std::string>{} : this->servicesWithMassExpiry(ids, now);
     std::vector<ReplicaEvent> events;
     for (const std::string &id : ids) {
         const auto known = this->replicas.find(id);
         const bool isLapsed =
             known != this->replicas.end() && lapsed.contains(known->second.service);
-        auto dropped = keepsAll   ? this->miss(id, keepUntil)
-                       : isLapsed ? this->miss(id, now + this->suspected)
-                                  : this->drop(id);
+        auto dropped = keepsAll   ? this->markMissing(id, keepUntil)
+                       : isLapsed ? this->markMissing(id, now + this->expiryGrace)
+                                  : this->remove(id);
         std::move(dropped.begin(), dropped.end(), std::back_inserter(events));
     }
     return events;
 }
 
-std::vector<ReplicaEvent> ReplicaDirectory::takeList(std::vector<Replica> list, TimePoint keepUntil,
-                                                     TimePoint now)
+std::vector<ReplicaEvent> ReplicaDirectory::applyList(std::vector<Replica> list,
+                                                      TimePoint keepUntil, TimePoint now)
 {
     std::vector<ReplicaEvent> events;
     std::set<std::string> listed;
     for (Replica &replica : list) {
         listed.insert(replica.id);
-        for (ReplicaEvent &event : this->takeEntry(std::move(replica))) {
+        for (ReplicaEvent &event : this->applyEntry(std::move(replica))) {
             events.push_back(std::move(event));
         }
     }
@@ -142,13 +142,13 @@
             absent.push_back(id);
         }
     }
-    for (ReplicaEvent &event : this->takeRemovals(absent, keepUntil, now)) {
+    for (ReplicaEvent &event : this->applyRemovals(absent, keepUntil, now)) {
         events.push_back(std::move(event));
     }
     return events;
 }
 
-std::vector<ReplicaEvent> ReplicaDirectory::expire(TimePoint now)
+std::vector<ReplicaEvent> ReplicaDirectory::removeExpired(TimePoint now)
 {
     std::vector<std::string> due;
     for (const auto &[id, until] : this->missing) {
@@ -158,7 +158,7 @@
     }
     std::vector<ReplicaEvent> events;
     for (const std::string &id : due) {
-        for (ReplicaEvent &event : this->drop(id)) {
+        for (ReplicaEvent &event : this->remove(id)) {
             events.push_back(std::move(event));
         }
     }
--- a/src/routing/route.cpp
+++ b/src/routing/route.cpp
@@ -26,7 +26,7 @@
     return kindNames.at(static_cast<std::size_t>(kind));
 }
 
-bool mayRepeat(const Route &route) noexcept
+bool isRetryable(const Route &route) noexcept
 {
     return route.kind == RouteKind::Idempotent
            || (route.kind == RouteKind::Streaming && route.resumable);
@@ -37,7 +37,7 @@
 {
     for (std::size_t i = 0; i < this->source.routes.size(); ++i) {
         const Route &route = this->source.routes[i];
-        this->byHost[plainHost(route.host)].emplace(route.prefix, i);
+        this->byHost[plainHost(route.host)].emplace(route.pathPrefix, i);
     }
     for (std::size_t i = 0; i < this->source.workspaces.size(); ++i) {
         for (const std::string &key : this->source.workspaces[i].keys) {
@@ -96,9 +96,9 @@
     return {};
 }
 
-std::uint32_t rankOf(const Route &route, const RoutedWorkspace *workspace) noexcept
+std::uint32_t requestPriority(const Route &route, const RoutedWorkspace *workspace) noexcept
 {
-    return workspace != nullptr && workspace->rank ? *workspace->rank : route.rank;
+    return workspace != nullptr && workspace->priority ? *workspace->priority : route.priority;
 }
 
 } // namespace plantainswitch
