--- a/src/routing/routercontacts.cpp
+++ b/src/routing/routercontacts.cpp
@@ -52,7 +52,7 @@
     this->contacts.at(address).isSeed = true;
 }
 
-RouterContact &RouterContacts::noteSeen(const Endpoint &address, TimePoint now)
+RouterContact &RouterContacts::recordReceived(const Endpoint &address, TimePoint now)
 {
     RouterContact &contact = this->contacts[address];
     contact.lastSeen = now;
@@ -60,38 +60,39 @@
     return contact;
 }
 
-RouterContacts::Rhythm RouterContacts::rhythm() const
+RouterContacts::GossipIntervals RouterContacts::gossipIntervals() const
 {
     std::size_t near = 0;
     std::size_t far = 0;
     for (const auto &[address, contact] : this->contacts) {
         if (contact.isMember) {
-            ++(this->isNear(contact) ? near : far);
+            ++(this->isLocal(contact) ? near : far);
         }
     }
-    Rhythm rhythm;
-    rhythm.nearInterval = pauseFor(near, maxFastNearRouters, maxNearInterval);
-    rhythm.farInterval = pauseFor(far, maxFastFarRouters, maxFarInterval);
-    rhythm.farTimeout = std::max(peerTimeout, maxMissedUpdates * rhythm.farInterval);
+    GossipIntervals rhythm;
+    rhythm.localInterval = pauseFor(near, maxFastLocalRouters, maxLocalInterval);
+    rhythm.remoteInterval = pauseFor(far, maxFastRemoteRouters, maxRemoteInterval);
+    rhythm.remoteTimeout = std::max(peerTimeout, maxMissedUpdates * rhythm.remoteInterval);
     return rhythm;
 }
 
 Milliseconds RouterContacts::maxInterval() const
 {
-    const Rhythm rhythm = this->rhythm();
-    return std::max({rhythm.nearInterval, rhythm.farInterval, unresponsiveInterval});
+    const GossipIntervals rhythm = this->gossipIntervals();
+    return std::max({rhythm.localInterval, rhythm.remoteInterval, unresponsiveInterval});
 }
 
-bool RouterContacts::isAlive(const RouterContact &contact, const Rhythm &rhythm,
+bool RouterContacts::isAlive(const RouterContact &contact, const GossipIntervals &rhythm,
                              TimePoint now) const
 {
     return contact.isMember
-           && now - contact.lastSeen < (this->isNear(contact) ? peerTimeout : rhythm.farTimeout);
+           && now - contact.lastSeen
+                  < (this->isLocal(contact) ? peerTimeout : rhythm.remoteTimeout);
 }
 
 std::size_t RouterContacts::aliveCount(TimePoint now) const
 {
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     const auto alive =
         std::count_if(this->contacts.begin(), this->contacts.end(),
                       [&](const auto &entry) { return this->isAlive(entry.second, rhythm, now); });
@@ -107,44 +108,44 @@
 
 std::map<std::string, DataCentreContact> RouterContacts::otherDataCentres(TimePoint now) const
 {
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     std::map<std::string, std::int64_t> routers;
     std::map<std::string, DataCentreContact> result;
     for (const auto &[address, contact] : this->contacts) {
-        if (this->isNear(contact) || !this->isAlive(contact, rhythm, now)) {
+        if (this->isLocal(contact) || !this->isAlive(contact, rhythm, now)) {
             continue;
         }
-        DataCentreContact &dataCentre = result[contact.place];
+        DataCentreContact &dataCentre = result[contact.dataCentre];
         dataCentre.lastSeen = std::max(dataCentre.lastSeen, contact.lastSeen);
-        dataCentre.updateGap = Duration{rhythm.farInterval} / ++routers[contact.place];
+        dataCentre.updateInterval = Duration{rhythm.remoteInterval} / ++routers[contact.dataCentre];
     }
     return result;
 }
 
-std::size_t RouterContacts::localSeenSince(TimePoint since) const
+std::size_t RouterContacts::localRoutersSeenSince(TimePoint since) const
 {
     const auto seen =
         std::count_if(this->contacts.begin(), this->contacts.end(), [&](const auto &entry) {
-            return entry.second.isMember && this->isNear(entry.second)
+            return entry.second.isMember && this->isLocal(entry.second)
                    && entry.second.lastSeen > since;
         });
     return static_cast<std::size_t>(seen);
 }
 
-std::vector<UpdateGroup> RouterContacts::takeDue(BroadcastScope wave, TimePoint now)
+std::vector<UpdateGroup> RouterContacts::takeDueGroups(BroadcastScope wave, TimePoint now)
 {
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     // Timers fire a little early or late: updates due before half of the next turn go now.
     constexpr Milliseconds slack = gossipInterval / 2;
     std::map<TimePoint, std::vector<Endpoint>> groups;
     for (auto &[address, contact] : this->contacts) {
-        const bool isNear = this->isNear(contact);
+        const bool isNear = this->isLocal(contact);
         const bool isAlive = this->isAlive(contact, rhythm, now);
         const Milliseconds pause = !isAlive ? unresponsiveInterval
-                                   : isNear ? rhythm.nearInterval
-                                            : rhythm.farInterval;
+                                   : isNear ? rhythm.localInterval
+                                            : rhythm.remoteInterval;
         const bool isWanted =
-            wave == BroadcastScope::All || (wave == BroadcastScope::Near && isNear);
+            wave == BroadcastScope::All || (wave == BroadcastScope::Local && isNear);
         const bool isSpread = isAlive && !isNear && pause > gossipInterval;
         const bool isDue = isSpread ? isLaterPeriod(contact.lastSent, now, pause,
                                                     hashOf(this->id + address.host, address.port))
@@ -162,14 +163,14 @@
     return due;
 }
 
-void RouterContacts::noteSent(const Endpoint &address, TimePoint now)
+void RouterContacts::recordSent(const Endpoint &address, TimePoint now)
 {
     this->contacts[address].lastSent = now;
 }
 
-std::vector<std::string> RouterContacts::takeFailed(TimePoint now)
+std::vector<std::string> RouterContacts::removeFailed(TimePoint now)
 {
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     std::set<std::string> failed;
     std::set<std::string> alive;
     for (auto &[address, contact] : this->contacts) {
@@ -185,7 +186,7 @@
     return gone;
 }
 
-void RouterContacts::forgetUnresponsive(TimePoint now)
+void RouterContacts::removeUnresponsive(TimePoint now)
 {
     std::erase_if(this->contacts, [now](const auto &entry) {
         return !entry.second.isSeed && now - entry.second.lastSeen > contactRetention;
@@ -215,25 +216,27 @@
 
 std::optional<std::size_t> RouterContacts::watchRank(TimePoint now) const
 {
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     std::vector<Heartbeat> active(1);
     active.front().id = this->id;
-    active.front().place = this->place;
+    active.front().dataCentre = this->dataCentre;
     for (const auto &[address, contact] : this->contacts) {
         if (this->isAlive(contact, rhythm, now)) {
             Heartbeat member;
             member.id = contact.id;
-            member.place = contact.place;
+            member.dataCentre = contact.dataCentre;
             member.leaving = contact.stopping;
             active.push_back(std::move(member));
         }
     }
-    return plantainswitch::watchRank(this->id, this->place, active, watchersInDataCentre);
+    return plantainswitch::watchRank(this->id, this->dataCentre, active,
+                                     storeWatchersPerDataCentre);
 }
 
-bool RouterContacts::isFirstFor(std::uint64_t key, TimePoint now, std::string_view except) const
+bool RouterContacts::isDesignatedFor(std::uint64_t key, TimePoint now,
+                                     std::string_view except) const
 {
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     const double own = scoreOf(key, this->id);
     return std::none_of(this->contacts.begin(), this->contacts.end(), [&](const auto &entry) {
         const RouterContact &contact = entry.second;
@@ -242,15 +245,15 @@
     });
 }
 
-std::size_t RouterContacts::confirmRank(TimePoint now) const
+std::size_t RouterContacts::confirmerRank(TimePoint now) const
 {
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     const double own = scoreOf(confirmerKey, this->id);
     const auto before =
         std::count_if(this->contacts.begin(), this->contacts.end(), [&](const auto &entry) {
             const RouterContact &contact = entry.second;
             const bool isPrompt =
-                this->isNear(contact) || rhythm.farInterval <= maxConfirmerInterval;
+                this->isLocal(contact) || rhythm.remoteInterval <= maxConfirmerInterval;
             return isPrompt && this->isAlive(contact, rhythm, now) && contact.storeConnected
                    && !contact.stopping && scoreOf(confirmerKey, contact.id) > own;
         });
@@ -261,7 +264,7 @@
                                              TimePoint RouterContact::*confirmed,
                                              std::uint64_t known, TimePoint now) const
 {
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     TimePoint latest;
     for (const auto &[address, contact] : this->contacts) {
         // A router that knows something newer confirms nothing to a router that doesn't.
@@ -284,19 +287,20 @@
                                     &RouterContact::upstreamsConfirmed, revision, now);
 }
 
-std::optional<Endpoint> RouterContacts::keeperOf(std::uint64_t life, const std::string &enginePlace,
-                                                 bool isStopping, TimePoint now) const
+std::optional<Endpoint> RouterContacts::coordinatorOf(std::uint64_t life,
+                                                      const std::string &enginePlace,
+                                                      bool isStopping, TimePoint now) const
 {
     // Near its engine, so that a data centre that is cut off keeps its own engines' counts.
-    const Rhythm rhythm = this->rhythm();
-    bool bestNear = enginePlace == this->place && !isStopping;
+    const GossipIntervals rhythm = this->gossipIntervals();
+    bool bestNear = enginePlace == this->dataCentre && !isStopping;
     double highest = scoreOf(life, this->id);
     std::optional<Endpoint> best;
     for (const auto &[address, contact] : this->contacts) {
         if (!this->isAlive(contact, rhythm, now) || contact.stopping) {
             continue;
         }
-        const bool isNear = contact.place == enginePlace;
+        const bool isNear = contact.dataCentre == enginePlace;
         const double score = scoreOf(life, contact.id);
         if ((isNear && !bestNear) || (isNear == bestNear && score > highest)) {
             best = address;
@@ -307,13 +311,14 @@
     return best;
 }
 
-std::optional<Endpoint> RouterContacts::newerRouter(std::uint64_t configVersion,
-                                                    std::uint64_t storeRevision, std::uint64_t turn,
-                                                    TimePoint now) const
+std::optional<Endpoint> RouterContacts::routerWithNewerState(std::uint64_t configVersion,
+                                                             std::uint64_t storeRevision,
+                                                             std::uint64_t turn,
+                                                             TimePoint now) const
 {
     // Each asks another one: were all to ask the same, its thin link would be busy for seconds with
     // a large configuration. Whoever has got it hands it on.
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     const std::uint64_t key = hashOf(this->id, turn);
     std::optional<Endpoint> best;
     bool bestIsNear = false;
@@ -324,7 +329,7 @@
         if (!knowsMore || !this->isAlive(contact, rhythm, now)) {
             continue;
         }
-        const bool isNear = this->isNear(contact);
+        const bool isNear = this->isLocal(contact);
         const double score = scoreOf(key, contact.id);
         if (!best || (isNear && !bestIsNear) || (isNear == bestIsNear && score > highest)) {
             best = address;
@@ -335,10 +340,10 @@
     return best;
 }
 
-std::vector<Endpoint> RouterContacts::someAlive(std::size_t most, std::uint64_t turn,
-                                                TimePoint now) const
+std::vector<Endpoint> RouterContacts::aliveSubset(std::size_t most, std::uint64_t turn,
+                                                  TimePoint now) const
 {
-    const Rhythm rhythm = this->rhythm();
+    const GossipIntervals rhythm = this->gossipIntervals();
     std::vector<Endpoint> alive;
     for (const auto &[address, contact] : this->contacts) {
         if (this->isAlive(contact, rhythm, now)) {
--- a/src/routing/selection.cpp
+++ b/src/routing/selection.cpp
@@ -11,25 +11,27 @@
 
 namespace {
 
-bool wasTried(const Replica &replica, const ChoiceRequest &request)
+bool wasTried(const Replica &replica, const SelectionRequest &request)
 {
-    return std::find(request.tried.begin(), request.tried.end(), replica.id) != request.tried.end();
+    return std::find(request.triedUpstreams.begin(), request.triedUpstreams.end(), replica.id)
+           != request.triedUpstreams.end();
 }
 
 /// \returns the hash by which the request's chain finds its engine: that of all shared parts.
-std::uint64_t homeKey(const ChoiceRequest &request) noexcept
+std::uint64_t homeKey(const SelectionRequest &request) noexcept
 {
-    const std::uint64_t whole = request.chain.empty() ? 0 : request.chain.back();
-    return sharedChainOf(request.chain).value_or(whole);
+    const std::uint64_t whole = request.prefixHashes.empty() ? 0 : request.prefixHashes.back();
+    return sharedPrefixOf(request.prefixHashes).value_or(whole);
 }
 
-double cachedTokens(const UpstreamState &state, bool isTrusted, const ChoiceRequest &request,
-                    const ChainMemory &memory, TimePoint now)
+double cachedTokens(const UpstreamState &state, bool isTrusted, const SelectionRequest &request,
+                    const PrefixIndex &memory, TimePoint now)
 {
     if (isTrusted) {
         return sharedTokensOf(*request.prompt);
     }
-    const std::size_t known = memory.knownParts(request.chain, lifeOf(state.replica), now);
+    const std::size_t known =
+        memory.cachedParts(request.prefixHashes, incarnationOf(state.replica), now);
     double cached = 0.0;
     for (std::size_t i = 0; i < known; ++i) {
         cached += request.prompt->parts[i].tokens;
@@ -38,22 +40,22 @@
 }
 
 /// \returns a delay from 0 to policy.plainSpread that a request without a prompt has there.
-double spreadDelay(const UpstreamState &state, const ChoiceRequest &request,
-                   const ChoicePolicy &policy)
+double spreadDelay(const UpstreamState &state, const SelectionRequest &request,
+                   const SelectionPolicy &policy)
 {
     constexpr std::uint64_t steps = 1024;
     const std::uint64_t step = mixHash(request.hash, hashOf(state.replica.id)) % steps;
-    return policy.plainSpread * static_cast<double>(step) / steps;
+    return policy.promptlessJitter * static_cast<double>(step) / steps;
 }
 
-double queueDelay(const UpstreamState &state, const ChoicePolicy &policy)
+double queueDelay(const UpstreamState &state, const SelectionPolicy &policy)
 {
     const double running = runningAt(state);
-    double delay = running * policy.figures.delayPerRunning;
-    const double slots = state.replica.slots;
+    double delay = running * policy.performance.delayPerRunning;
+    const double slots = state.replica.maxConcurrency;
     if (slots > 0 && running >= slots) {
         // With all slots busy, one is freed each holdTime / slots.
-        delay += policy.figures.holdTime * (running - slots + 1.0) / slots;
+        delay += policy.performance.slotHoldTime * (running - slots + 1.0) / slots;
     }
     return delay;
 }
@@ -69,7 +71,8 @@
     double occupancy = 0.0;
 };
 
-Survey survey(std::span<UpstreamState *const> candidates, const ChoicePolicy &policy, TimePoint now)
+Survey survey(std::span<UpstreamState *const> candidates, const SelectionPolicy &policy,
+              TimePoint now)
 {
     double running = 0.0;
     double failureShares = 0.0;
@@ -77,43 +80,44 @@
     std::size_t usable = 0;
     std::size_t avoided = 0;
     for (const UpstreamState *state : candidates) {
-        if (state->replica.leaving || unreachableCount(state->health, now) > 0) {
+        if (state->replica.draining || connectFailureCount(state->health, now) > 0) {
             continue;
         }
         ++usable;
         running += runningAt(*state);
-        slots += state->replica.slots;
-        failureShares += failureShareOf(state->health, now);
-        avoided += isAvoided(state->health, now) ? 1 : 0;
+        slots += state->replica.maxConcurrency;
+        failureShares += failureRateOf(state->health, now);
+        avoided += isEjected(state->health, now) ? 1 : 0;
     }
     const auto count = static_cast<double>(std::max<std::size_t>(usable, 1));
-    return {policy.boundFactor * running / count + policy.boundExtra,
-            static_cast<double>(avoided) <= policy.mostAvoided * count, failureShares / count,
+    return {policy.loadBoundFactor * running / count + policy.loadBoundExtra,
+            static_cast<double>(avoided) <= policy.maxEjectedShare * count, failureShares / count,
             slots > 0.0 ? running / slots : 0.0};
 }
 
-double orderDelay(std::size_t place, const ChoicePolicy &policy)
+double orderDelay(std::size_t place, const SelectionPolicy &policy)
 {
-    const double step =
-        policy.orderRequests * policy.figures.tokensPerRequest / policy.figures.prefillRate;
-    return step * std::min(static_cast<double>(place), policy.mostOrderSteps);
+    const double step = policy.preferenceStepRequests * policy.performance.tokensPerRequest
+                        / policy.performance.prefillRate;
+    return step * std::min(static_cast<double>(place), policy.maxPreferenceSteps);
 }
 
 /// \returns whether an engine that may be used is known to have all shared parts.
-bool isKnownAnywhere(std::span<UpstreamState *const> candidates, const ChoiceRequest &request,
-                     const ChainMemory &memory, const Survey &seen, TimePoint now)
+bool isKnownAnywhere(std::span<UpstreamState *const> candidates, const SelectionRequest &request,
+                     const PrefixIndex &memory, const Survey &seen, TimePoint now)
 {
-    const std::size_t shared = request.chain.size() - 1;
+    const std::size_t shared = request.prefixHashes.size() - 1;
     return std::any_of(candidates.begin(), candidates.end(), [&](const UpstreamState *state) {
-        return takesWork(*state, seen.avoidanceHolds, now)
-               && memory.knownParts(request.chain, lifeOf(state->replica), now) >= shared;
+        return isEligible(*state, seen.avoidanceHolds, now)
+               && memory.cachedParts(request.prefixHashes, incarnationOf(state->replica), now)
+                      >= shared;
     });
 }
 
 /// Prompt tokens at the start of the request that each candidate is known to have.
 std::vector<double> cachedAtEach(std::span<UpstreamState *const> candidates,
                                  std::optional<std::size_t> trustedHome,
-                                 const ChoiceRequest &request, const ChainMemory &memory,
+                                 const SelectionRequest &request, const PrefixIndex &memory,
                                  TimePoint now)
 {
     std::vector<double> cached(candidates.size(), 0.0);
@@ -132,22 +136,22 @@
 
 /// A copy from an engine that is down would hold the request up until its time is over. One that
 /// leaves is as good as any while it is there, and its memory is soon lost.
-bool mayBeCopiedFrom(const UpstreamState &state, const ChoiceRequest &request, TimePoint now)
+bool mayBeCopiedFrom(const UpstreamState &state, const SelectionRequest &request, TimePoint now)
 {
-    return !isAvoided(state.health, now) && unreachableCount(state.health, now) == 0
+    return !isEjected(state.health, now) && connectFailureCount(state.health, now) == 0
            && !wasTried(state.replica, request);
 }
 
 /// \returns who is known to have most of the prompt, and among equals who comes first in its order.
 Donors donorsOf(std::span<UpstreamState *const> candidates, const std::vector<double> &cached,
-                const ChainOrder &order, const ChoiceRequest &request, const ChoicePolicy &policy,
-                TimePoint now)
+                const PreferenceList &order, const SelectionRequest &request,
+                const SelectionPolicy &policy, TimePoint now)
 {
     const auto isBetter = [&](std::size_t left, std::optional<std::size_t> right) {
         return !right || cached[left] > cached[*right]
-               || (cached[left] == cached[*right] && order.places[left] < order.places[*right]);
+               || (cached[left] == cached[*right] && order.ranks[left] < order.ranks[*right]);
     };
-    const double least = breakEvenTransfer(policy.figures);
+    const double least = breakEvenTransferTokens(policy.performance);
     Donors donors;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         if (cached[i] < least || !mayBeCopiedFrom(*candidates[i], request, now)) {
@@ -163,8 +167,8 @@
 }
 
 /// Takes into \a choice what its engine must read, and what it can copy.
-void weighPrompt(Choice &choice, const std::vector<double> &cached, const Donors &donors,
-                 const ChoiceRequest &request)
+void weighPrompt(UpstreamSelection &choice, const std::vector<double> &cached, const Donors &donors,
+                 const SelectionRequest &request)
 {
     const double known = cached[choice.index];
     choice.uncachedTokens = std::max(0.0, tokensOf(*request.prompt) - known);
@@ -174,69 +178,73 @@
     }
     // Also where the engine is taken to have it all: it may have dropped parts that nobody used
     // for some seconds, and a copy of nothing costs nothing.
-    choice.copyFrom = donor;
-    choice.copiedTokens = std::max(0.0, cached[*donor] - known);
-    choice.uncachedTokens -= choice.copiedTokens;
+    choice.transferSource = donor;
+    choice.transferredTokens = std::max(0.0, cached[*donor] - known);
+    choice.uncachedTokens -= choice.transferredTokens;
 }
 
-double transferDelay(const Choice &choice, const ChoicePolicy &policy)
+double transferDelay(const UpstreamSelection &choice, const SelectionPolicy &policy)
 {
-    if (choice.copiedTokens <= 0.0) {
+    if (choice.transferredTokens <= 0.0) {
         return 0.0;
     }
-    return policy.figures.transferSetup + choice.copiedTokens / policy.figures.transferRate;
+    return policy.performance.transferSetup
+           + choice.transferredTokens / policy.performance.transferRate;
 }
 
 /// A prefill delays the next tokens of all that run beside it, and like a transfer it takes memory
 /// that other prefixes have there.
-double loadOnOthers(const Choice &choice, const UpstreamState &state, const ChoicePolicy &policy)
+double loadOnOthers(const UpstreamSelection &choice, const UpstreamState &state,
+                    const SelectionPolicy &policy)
 {
-    const double cachedTokens = choice.uncachedTokens + choice.copiedTokens;
+    const double cachedTokens = choice.uncachedTokens + choice.transferredTokens;
     const double delayedTokens = runningAt(state) * choice.uncachedTokens;
     return (policy.cacheWeight * cachedTokens + policy.interference * delayedTokens)
-           / policy.figures.prefillRate;
+           / policy.performance.prefillRate;
 }
 
-void estimateDelay(Choice &choice, const UpstreamState &state, bool hasPrompt,
-                   const ChoicePolicy &policy, TimePoint now)
+void estimateDelay(UpstreamSelection &choice, const UpstreamState &state, bool hasPrompt,
+                   const SelectionPolicy &policy, TimePoint now)
 {
     const double prefill =
-        (choice.uncachedTokens + state.ownUnread + state.peersUnread) / policy.figures.prefillRate;
+        (choice.uncachedTokens + state.ownPendingPrefill + state.peersPendingPrefill)
+        / policy.performance.prefillRate;
     choice.extraDelay = extraDelayOf(state.health, now);
-    choice.expectedDelay = (hasPrompt ? policy.figures.baseDelay : 0.0) + prefill
+    choice.expectedDelay = (hasPrompt ? policy.performance.baseDelay : 0.0) + prefill
                            + transferDelay(choice, policy) + queueDelay(state, policy)
                            + choice.extraDelay;
 }
 
 /// The home is compared with the others as if it had the shared parts, so that all routers agree
 /// on it; what it is to do is all of the prompt.
-void addFirstRead(Choice &choice, const std::vector<double> &cached, const ChoiceRequest &request,
-                  const ChoicePolicy &policy)
+void addFirstRead(UpstreamSelection &choice, const std::vector<double> &cached,
+                  const SelectionRequest &request, const SelectionPolicy &policy)
 {
     const double shared = sharedTokensOf(*request.prompt);
     const double before = transferDelay(choice, policy);
-    choice.copiedTokens = choice.copyFrom ? std::min(shared, cached[*choice.copyFrom]) : 0.0;
-    choice.uncachedTokens += shared - choice.copiedTokens;
-    choice.expectedDelay += (shared - choice.copiedTokens) / policy.figures.prefillRate
+    choice.transferredTokens =
+        choice.transferSource ? std::min(shared, cached[*choice.transferSource]) : 0.0;
+    choice.uncachedTokens += shared - choice.transferredTokens;
+    choice.expectedDelay += (shared - choice.transferredTokens) / policy.performance.prefillRate
                             + transferDelay(choice, policy) - before;
 }
 
 /// Lower classes are only used when no higher one is left.
 enum class Fitness : std::uint8_t { Good, OverBound, Avoided, Unreachable, Unusable };
 
-Fitness fitnessOf(const UpstreamState &state, const ChoiceRequest &request, const Survey &seen,
+Fitness fitnessOf(const UpstreamState &state, const SelectionRequest &request, const Survey &seen,
                   TimePoint now)
 {
-    if (state.replica.leaving || wasTried(state.replica, request)) {
+    if (state.replica.draining || wasTried(state.replica, request)) {
         return Fitness::Unusable;
     }
-    const std::uint32_t unreachable = unreachableCount(state.health, now);
+    const std::uint32_t unreachable = connectFailureCount(state.health, now);
     if (unreachable > 0) {
         // A single lost packet looks the same; after two, a further try costs the caller as much
         // again and is refused at once instead.
         return unreachable == 1 ? Fitness::Unreachable : Fitness::Unusable;
     }
-    if (seen.avoidanceHolds && isAvoided(state.health, now)) {
+    if (seen.avoidanceHolds && isEjected(state.health, now)) {
         return Fitness::Avoided;
     }
     return runningAt(state) + 1.0 > seen.bound ? Fitness::OverBound : Fitness::Good;
@@ -247,23 +255,23 @@
 {
     Survey seen;
     bool hasPrompt = false;
-    ChainOrder order;
+    PreferenceList order;
     /// The home is taken to have the shared parts.
     bool trustsHome = false;
     std::vector<double> cached;
     Donors donors;
 };
 
-Comparison prepare(std::span<UpstreamState *const> candidates, const ChoiceRequest &request,
-                   const ChainMemory &memory, const ChoicePolicy &policy, TimePoint now)
+Comparison prepare(std::span<UpstreamState *const> candidates, const SelectionRequest &request,
+                   const PrefixIndex &memory, const SelectionPolicy &policy, TimePoint now)
 {
     Comparison result;
     result.seen = survey(candidates, policy, now);
-    result.hasPrompt = request.prompt != nullptr && !request.chain.empty();
+    result.hasPrompt = request.prompt != nullptr && !request.prefixHashes.empty();
     if (!result.hasPrompt) {
         return result;
     }
-    result.order = orderOf(candidates, homeKey(request), result.seen.avoidanceHolds, now);
+    result.order = preferenceListOf(candidates, homeKey(request), result.seen.avoidanceHolds, now);
     // Where nobody is known to have read the chain, its home is the one that all routers pick, so
     // that it is read once. Once it is known, engines that have it go first: a home changes when
     // engines come and go, and what is cached stays where it was.
@@ -277,24 +285,25 @@
     return result;
 }
 
-Choice weigh(std::size_t index, const UpstreamState &state, const Comparison &comparison,
-             const ChoiceRequest &request, const ChoicePolicy &policy, TimePoint now)
+UpstreamSelection weigh(std::size_t index, const UpstreamState &state, const Comparison &comparison,
+                        const SelectionRequest &request, const SelectionPolicy &policy,
+                        TimePoint now)
 {
-    Choice choice;
+    UpstreamSelection choice;
     choice.index = index;
     if (comparison.hasPrompt) {
         weighPrompt(choice, comparison.cached, comparison.donors, request);
     }
     estimateDelay(choice, state, comparison.hasPrompt, policy, now);
     const double excessFailures =
-        std::max(0.0, failureShareOf(state.health, now) - comparison.seen.meanFailureShare);
+        std::max(0.0, failureRateOf(state.health, now) - comparison.seen.meanFailureShare);
     choice.cost = choice.expectedDelay + loadOnOthers(choice, state, policy)
                   + policy.failureDelay * excessFailures
-                  + (comparison.hasPrompt ? orderDelay(comparison.order.places[index], policy)
+                  + (comparison.hasPrompt ? orderDelay(comparison.order.ranks[index], policy)
                                           : spreadDelay(state, request, policy))
-                  + (state.replica.place == request.place ? 0.0 : policy.otherPlaceDelay);
+                  + (state.replica.dataCentre == request.dataCentre ? 0.0 : policy.remoteDelay);
     choice.isHome = comparison.order.home == index;
-    choice.isFirstRead = comparison.trustsHome && choice.isHome;
+    choice.isFirstPrefill = comparison.trustsHome && choice.isHome;
     return choice;
 }
 
@@ -305,24 +314,25 @@
     return state.ownRunning + state.peersRunning;
 }
 
-double breakEvenTransfer(const ServiceFigures &figures) noexcept
+double breakEvenTransferTokens(const ServicePerformance &figures) noexcept
 {
     const double savedPerToken = 1.0 / figures.prefillRate - 1.0 / figures.transferRate;
     return savedPerToken > 0.0 ? figures.transferSetup / savedPerToken
                                : std::numeric_limits<double>::infinity();
 }
 
-std::uint64_t lifeOf(const Replica &replica) noexcept
+std::uint64_t incarnationOf(const Replica &replica) noexcept
 {
-    return mixHash(hashOf(replica.id), replica.born);
+    return mixHash(hashOf(replica.id), replica.startTime);
 }
 
-std::optional<Choice> chooseUpstream(std::span<UpstreamState *const> candidates,
-                                     const ChoiceRequest &request, const ChainMemory &memory,
-                                     const ChoicePolicy &policy, TimePoint now)
+std::optional<UpstreamSelection> selectUpstream(std::span<UpstreamState *const> candidates,
+                                                const SelectionRequest &request,
+                                                const PrefixIndex &memory,
+                                                const SelectionPolicy &policy, TimePoint now)
 {
     const Comparison comparison = prepare(candidates, request, memory, policy, now);
-    std::optional<Choice> best;
+    std::optional<UpstreamSelection> best;
     Fitness bestFitness = Fitness::Unusable;
     std::uint32_t avoided = 0;
     std::uint32_t overBound = 0;
@@ -334,7 +344,7 @@
         if (fitness == Fitness::Unusable) {
             continue;
         }
-        const Choice choice = weigh(i, *candidates[i], comparison, request, policy, now);
+        const UpstreamSelection choice = weigh(i, *candidates[i], comparison, request, policy, now);
         homeCost = choice.isHome ? choice.cost : homeCost;
         if (!best || fitness < bestFitness
             || (fitness == bestFitness && choice.cost < best->cost)) {
@@ -343,12 +353,12 @@
         }
     }
     if (best) {
-        if (best->isFirstRead) {
+        if (best->isFirstPrefill) {
             addFirstRead(*best, comparison.cached, request, policy);
         }
-        best->avoided = avoided;
-        best->overBound = overBound;
-        best->bound = comparison.seen.bound;
+        best->ejectedCount = avoided;
+        best->overBoundCount = overBound;
+        best->loadBound = comparison.seen.bound;
         best->homeCost = homeCost;
         best->occupancy = comparison.seen.occupancy;
     }
--- a/src/routing/serviceestimator.cpp
+++ b/src/routing/serviceestimator.cpp
@@ -54,7 +54,7 @@
 
 RecursiveLeastSquares<3> priorPrefill()
 {
-    const ServiceFigures prior;
+    const ServicePerformance prior;
     return {{prior.baseDelay, tokenUnit / prior.prefillRate, prior.delayPerRunning},
             {30.0, 20.0, 0.15},
             sampleNoise,
@@ -63,7 +63,7 @@
 
 RecursiveLeastSquares<2> priorTransfer()
 {
-    const ServiceFigures prior;
+    const ServicePerformance prior;
     return {{prior.transferSetup, tokenUnit / prior.transferRate},
             {5.0, 20.0},
             2.0 * sampleNoise,
@@ -91,19 +91,19 @@
 
 struct FigureMeans
 {
-    void add(const FigureReport &report)
+    void add(const PerformanceReport &report)
     {
-        const ServiceFigures &figures = report.figures;
+        const ServicePerformance &figures = report.performance;
         this->prefillRate.add(figures.prefillRate, report.prefillSamples);
         this->baseDelay.add(figures.baseDelay, report.prefillSamples);
         this->delayPerRunning.add(figures.delayPerRunning, report.prefillSamples);
         this->transferRate.add(figures.transferRate, report.transferSamples);
         this->transferSetup.add(figures.transferSetup, report.transferSamples);
-        this->holdTime.add(figures.holdTime, report.holdSamples);
+        this->holdTime.add(figures.slotHoldTime, report.slotHoldSamples);
         this->tokensPerRequest.add(figures.tokensPerRequest, report.prefillSamples);
     }
 
-    [[nodiscard]] ServiceFigures value() const
+    [[nodiscard]] ServicePerformance value() const
     {
         return {this->prefillRate.value(),     this->baseDelay.value(),
                 this->delayPerRunning.value(), this->transferRate.value(),
@@ -120,16 +120,16 @@
     LogarithmicMean tokensPerRequest;
 };
 
-bool isValid(const FigureReport &report)
+bool isValid(const PerformanceReport &report)
 {
-    const ServiceFigures &figures = report.figures;
+    const ServicePerformance &figures = report.performance;
     const auto isPositive = [](double value) { return std::isfinite(value) && value > 0.0; };
-    if (!std::isfinite(report.prefillSamples + report.transferSamples + report.holdSamples)) {
+    if (!std::isfinite(report.prefillSamples + report.transferSamples + report.slotHoldSamples)) {
         return false;
     }
     return isPositive(figures.prefillRate) && isPositive(figures.baseDelay)
            && isPositive(figures.delayPerRunning) && isPositive(figures.transferRate)
-           && isPositive(figures.transferSetup) && isPositive(figures.holdTime)
+           && isPositive(figures.transferSetup) && isPositive(figures.slotHoldTime)
            && isPositive(figures.tokensPerRequest);
 }
 
@@ -138,8 +138,8 @@
 ServiceEstimator::ServiceEstimator()
     : prefill(priorPrefill())
     , transfer(priorTransfer())
-    , holdTime(ServiceFigures{}.holdTime)
-    , tokensPerRequest(ServiceFigures{}.tokensPerRequest)
+    , slotHoldTime(ServicePerformance{}.slotHoldTime)
+    , tokensPerRequest(ServicePerformance{}.tokensPerRequest)
 {}
 
 void ServiceEstimator::recordFirstByte(const FirstByteSample &sample)
@@ -164,7 +164,7 @@
     this->error += meanWeight * (std::abs(error) - this->error);
     const double weight = error > 0.0 ? weightAbove : weightBelow;
     this->prefill.update(features, limitOutlier(expected, delay, outlierShare), weight);
-    const ServiceFigures prior;
+    const ServicePerformance prior;
     clampAround(this->prefill, 0, prior.baseDelay);
     clampAround(this->prefill, 1, tokenUnit / prior.prefillRate);
     clampAround(this->prefill, 2, prior.delayPerRunning);
@@ -182,61 +182,62 @@
     const double expected = this->transfer.predict(features);
     const double observed = std::max(0.0, delay - rest);
     this->transfer.update(features, limitOutlier(expected, observed, transferOutlierShare), 1.0);
-    const ServiceFigures prior;
+    const ServicePerformance prior;
     clampAround(this->transfer, 0, prior.transferSetup);
     clampAround(this->transfer, 1, tokenUnit / prior.transferRate);
 }
 
-void ServiceEstimator::recordHold(Duration held)
+void ServiceEstimator::recordSlotHold(Duration held)
 {
     const double value = std::max(1.0, millisecondsOf(held));
-    this->holdSamples = std::min(maxSamples, this->holdSamples + 1.0);
-    this->holdTime += std::max(meanWeight, 1.0 / this->holdSamples) * (value - this->holdTime);
+    this->slotHoldSamples = std::min(maxSamples, this->slotHoldSamples + 1.0);
+    this->slotHoldTime +=
+        std::max(meanWeight, 1.0 / this->slotHoldSamples) * (value - this->slotHoldTime);
 }
 
-void ServiceEstimator::takeReport(const std::string &router, const FigureReport &report,
-                                  TimePoint now)
+void ServiceEstimator::applyReport(const std::string &router, const PerformanceReport &report,
+                                   TimePoint now)
 {
     if (!isValid(report)) {
         return;
     }
     std::erase_if(this->received, [now](const auto &entry) {
-        return now - entry.second.when > figureReportLifetime;
+        return now - entry.second.when > performanceReportLifetime;
     });
     if (this->received.size() >= maxReports && !this->received.contains(router)) {
         return;
     }
-    FigureReport bounded = report;
+    PerformanceReport bounded = report;
     for (double *samples :
-         {&bounded.prefillSamples, &bounded.transferSamples, &bounded.holdSamples}) {
+         {&bounded.prefillSamples, &bounded.transferSamples, &bounded.slotHoldSamples}) {
         *samples = std::clamp(*samples, 0.0, maxSamples);
     }
     this->received[router] = {bounded, now};
 }
 
-FigureReport ServiceEstimator::ownReport() const
+PerformanceReport ServiceEstimator::ownReport() const
 {
-    FigureReport report;
+    PerformanceReport report;
     report.prefillSamples = this->prefillSamples;
     report.transferSamples = this->transferSamples;
-    report.holdSamples = this->holdSamples;
-    report.figures.baseDelay = this->prefill.coefficient(0);
-    report.figures.prefillRate = tokenUnit / this->prefill.coefficient(1);
-    report.figures.delayPerRunning = this->prefill.coefficient(2);
-    report.figures.transferSetup = this->transfer.coefficient(0);
-    report.figures.transferRate = tokenUnit / this->transfer.coefficient(1);
-    report.figures.holdTime = this->holdTime;
-    report.figures.tokensPerRequest = this->tokensPerRequest;
+    report.slotHoldSamples = this->slotHoldSamples;
+    report.performance.baseDelay = this->prefill.coefficient(0);
+    report.performance.prefillRate = tokenUnit / this->prefill.coefficient(1);
+    report.performance.delayPerRunning = this->prefill.coefficient(2);
+    report.performance.transferSetup = this->transfer.coefficient(0);
+    report.performance.transferRate = tokenUnit / this->transfer.coefficient(1);
+    report.performance.slotHoldTime = this->slotHoldTime;
+    report.performance.tokensPerRequest = this->tokensPerRequest;
     return report;
 }
 
-ServiceFigures ServiceEstimator::figures(TimePoint now) const
+ServicePerformance ServiceEstimator::performance(TimePoint now) const
 {
     FigureMeans means;
-    means.add({ServiceFigures{}, priorSamples, priorSamples, priorSamples});
+    means.add({ServicePerformance{}, priorSamples, priorSamples, priorSamples});
     means.add(this->ownReport());
     for (const auto &[router, entry] : this->received) {
-        if (now - entry.when <= figureReportLifetime) {
+        if (now - entry.when <= performanceReportLifetime) {
             means.add(entry.report);
         }
     }
--- a/src/routing/updatelog.cpp
+++ b/src/routing/updatelog.cpp
@@ -25,39 +25,39 @@
 
 } // namespace
 
-void UpdateLog::noteChain(const PrefixReport &chain, TimePoint now)
+void UpdateLog::recordPrefix(const PrefixReport &chain, TimePoint now)
 {
-    this->chains.push_back({chain, now});
+    this->prefixes.push_back({chain, now});
 }
 
-void UpdateLog::noteCrash(const CrashReport &crash, TimePoint now)
+void UpdateLog::recordCrash(const CrashReport &crash, TimePoint now)
 {
     this->crashes.push_back({crash, now});
 }
 
-void UpdateLog::noteCleared(RequestFingerprint request, TimePoint now)
+void UpdateLog::recordCleared(RequestFingerprint request, TimePoint now)
 {
     this->cleared.push_back({request, now});
 }
 
-void UpdateLog::forgetBefore(TimePoint then)
+void UpdateLog::removeBefore(TimePoint then)
 {
-    dropBefore(this->chains, then);
+    dropBefore(this->prefixes, then);
     dropBefore(this->crashes, then);
     dropBefore(this->cleared, then);
 }
 
-std::vector<PrefixReport> UpdateLog::chainsSince(TimePoint since, std::size_t most) const
+std::vector<PrefixReport> UpdateLog::prefixesSince(TimePoint since, std::size_t most) const
 {
     std::vector<PrefixReport> found;
-    walkSince(this->chains, since, [&found, most](const PrefixReport &chain) {
+    walkSince(this->prefixes, since, [&found, most](const PrefixReport &chain) {
         found.push_back(chain);
         return found.size() < most;
     });
     return found;
 }
 
-CrashUpdate UpdateLog::suspectsSince(TimePoint since) const
+CrashUpdate UpdateLog::crashesSince(TimePoint since) const
 {
     CrashUpdate found;
     walkSince(this->crashes, since, [&found](const CrashReport &crash) {
--- a/src/upstreams/retrybudget.cpp
+++ b/src/upstreams/retrybudget.cpp
@@ -4,13 +4,14 @@
 
 namespace plantainswitch {
 
-void RetryBudget::earn()
+void RetryBudget::deposit()
 {
     const RankedLock lock(this->mutex);
-    this->tokens = std::min(this->settings.most, this->tokens + this->settings.perRequest);
+    this->tokens =
+        std::min(this->settings.maxTokens, this->tokens + this->settings.depositPerRequest);
 }
 
-bool RetryBudget::spend()
+bool RetryBudget::tryWithdraw()
 {
     const RankedLock lock(this->mutex);
     if (this->tokens < 1.0) {
--- a/src/upstreams/sse.cpp
+++ b/src/upstreams/sse.cpp
@@ -32,7 +32,7 @@
     while (!bytes.empty()) {
         const std::size_t end = bytes.find('\n');
         this->line.append(bytes.substr(0, end));
-        if (this->line.size() + this->data.size() > longestEvent) {
+        if (this->line.size() + this->data.size() > maxSseEventBytes) {
             return false;
         }
         if (end == std::string_view::npos) {
--- a/src/upstreams/suspects.cpp
+++ b/src/upstreams/suspects.cpp
@@ -8,23 +8,24 @@
 
 void dropOld(Suspects &suspects, TimePoint now)
 {
-    std::erase_if(suspects.known, [&](const auto &each) {
+    std::erase_if(suspects.entries, [&](const auto &each) {
         return now - each.second.lastCrash > suspects.limits.quarantine;
     });
-    while (suspects.known.size() > suspects.limits.most) {
-        const auto oldest = std::min_element(
-            suspects.known.begin(), suspects.known.end(), [](const auto &one, const auto &other) {
-                return one.second.lastCrash < other.second.lastCrash;
-            });
-        suspects.known.erase(oldest);
+    while (suspects.entries.size() > suspects.limits.maxSuspects) {
+        const auto oldest =
+            std::min_element(suspects.entries.begin(), suspects.entries.end(),
+                             [](const auto &one, const auto &other) {
+                                 return one.second.lastCrash < other.second.lastCrash;
+                             });
+        suspects.entries.erase(oldest);
     }
 }
 
 void addCrash(Suspects &suspects, Fingerprint fingerprint, UpstreamId upstream, TimePoint now)
 {
-    Suspect &suspect = suspects.known[fingerprint];
+    Suspect &suspect = suspects.entries[fingerprint];
     const bool told = suspect.crashes > 0 && suspect.lastUpstream == upstream
-                      && now - suspect.lastCrash < suspects.limits.sameCrash;
+                      && now - suspect.lastCrash < suspects.limits.sameCrashWindow;
     if (!told) {
         ++suspect.crashes;
     }
@@ -34,84 +35,86 @@
 
 } // namespace
 
-void takeNews(Suspects &suspects, const SuspectNews &news, TimePoint now)
+void applySuspectUpdate(Suspects &suspects, const SuspectUpdate &news, TimePoint now)
 {
     for (const Fingerprint fingerprint : news.crashed) {
         addCrash(suspects, fingerprint, news.upstream, now);
     }
     for (const Fingerprint fingerprint : news.cleared) {
-        const auto found = suspects.known.find(fingerprint);
-        if (found != suspects.known.end() && found->second.crashes < suspects.limits.crashes) {
-            suspects.known.erase(found);
+        const auto found = suspects.entries.find(fingerprint);
+        if (found != suspects.entries.end()
+            && found->second.crashes < suspects.limits.quarantineThreshold) {
+            suspects.entries.erase(found);
         }
     }
     dropOld(suspects, now);
 }
 
-Blame blameOf(const Suspects &suspects, Fingerprint fingerprint, TimePoint now)
+SuspectStatus suspectStatusOf(const Suspects &suspects, Fingerprint fingerprint, TimePoint now)
 {
-    const auto found = suspects.known.find(fingerprint);
-    if (found == suspects.known.end()
+    const auto found = suspects.entries.find(fingerprint);
+    if (found == suspects.entries.end()
         || now - found->second.lastCrash > suspects.limits.quarantine) {
-        return Blame::None;
+        return SuspectStatus::None;
     }
-    return found->second.crashes >= suspects.limits.crashes ? Blame::Quarantined : Blame::Suspect;
+    return found->second.crashes >= suspects.limits.quarantineThreshold ? SuspectStatus::Quarantined
+                                                                        : SuspectStatus::Suspected;
 }
 
-std::vector<UpstreamId> keepAwayFrom(const Suspects &suspects, Fingerprint fingerprint,
-                                     const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
-                                     TimePoint now)
+std::vector<UpstreamId>
+excludedUpstreams(const Suspects &suspects, Fingerprint fingerprint,
+                  const std::vector<std::pair<UpstreamId, Fingerprint>> &running, TimePoint now)
 {
     std::vector<UpstreamId> result;
-    if (blameOf(suspects, fingerprint, now) == Blame::None) {
+    if (suspectStatusOf(suspects, fingerprint, now) == SuspectStatus::None) {
         return result;
     }
     for (const auto &[upstream, other] : running) {
-        if (blameOf(suspects, other, now) != Blame::None) {
+        if (suspectStatusOf(suspects, other, now) != SuspectStatus::None) {
             result.push_back(upstream);
         }
     }
     return result;
 }
 
-bool isHeldBack(const Suspects &suspects, Fingerprint fingerprint,
-                const std::vector<std::pair<UpstreamId, Fingerprint>> &running, TimePoint now)
+bool isBlocked(const Suspects &suspects, Fingerprint fingerprint,
+               const std::vector<std::pair<UpstreamId, Fingerprint>> &running, TimePoint now)
 {
-    const Blame blame = blameOf(suspects, fingerprint, now);
-    return blame == Blame::Quarantined
-           || (blame == Blame::Suspect
+    const SuspectStatus blame = suspectStatusOf(suspects, fingerprint, now);
+    return blame == SuspectStatus::Quarantined
+           || (blame == SuspectStatus::Suspected
                && std::any_of(running.begin(), running.end(), [fingerprint](const auto &each) {
                       return each.second == fingerprint;
                   }));
 }
 
-void SuspectTable::take(const SuspectNews &news, TimePoint now)
+void SuspectTable::applyUpdate(const SuspectUpdate &news, TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    takeNews(this->suspects, news, now);
+    applySuspectUpdate(this->suspects, news, now);
 }
 
-Blame SuspectTable::blame(Fingerprint fingerprint, TimePoint now) const
+SuspectStatus SuspectTable::statusOf(Fingerprint fingerprint, TimePoint now) const
 {
     const RankedLock lock(this->mutex);
-    return blameOf(this->suspects, fingerprint, now);
+    return suspectStatusOf(this->suspects, fingerprint, now);
 }
 
 std::vector<UpstreamId>
-SuspectTable::keepAway(Fingerprint fingerprint,
-                       const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
-                       TimePoint now) const
+SuspectTable::excludedFor(Fingerprint fingerprint,
+                          const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
+                          TimePoint now) const
 {
     const RankedLock lock(this->mutex);
-    return keepAwayFrom(this->suspects, fingerprint, running, now);
+    return excludedUpstreams(this->suspects, fingerprint, running, now);
 }
 
-bool SuspectTable::heldBack(Fingerprint fingerprint,
-                            const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
-                            TimePoint now) const
+bool SuspectTable::blocks(Fingerprint fingerprint,
+                          const std::vector<std::pair<UpstreamId, Fingerprint>> &running,
+                          TimePoint now) const
 {
     const RankedLock lock(this->mutex);
-    return isHeldBack(this->suspects, fingerprint, running, now);
+    return isBlocked(this->suspects, fingerprint, running, now);
 }
 
 } // namespace plantainswitch
--- a/src/upstreams/upstreams.cpp
+++ b/src/upstreams/upstreams.cpp
@@ -19,7 +19,7 @@
 
 bool isNewLife(const Vm &vm, std::uint64_t startedBefore) noexcept
 {
-    return vm.started > startedBefore;
+    return vm.startStamp > startedBefore;
 }
 
 } // namespace
@@ -27,8 +27,9 @@
 void UpstreamTable::replace(const std::vector<Vm> &vms, TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    std::erase_if(this->left,
-                  [now](const auto &each) { return now - each.second.since >= newLifeAfter; });
+    std::erase_if(this->delisted, [now](const auto &each) {
+        return now - each.second.since >= newIncarnationAfter;
+    });
     std::map<UpstreamId, Upstream> next;
     for (const Vm &vm : vms) {
         if (vm.role == VmRole::Router) {
@@ -37,53 +38,53 @@
         const UpstreamId id = upstreamIdOf(vm.id);
         Upstream upstream{vm, id, TimePoint{}};
         const auto known = this->upstreams.find(id);
-        const auto gone = this->left.find(id);
+        const auto gone = this->delisted.find(id);
         bool wasLeaving = false;
-        if (known != this->upstreams.end() && !isNewLife(vm, known->second.vm.started)) {
+        if (known != this->upstreams.end() && !isNewLife(vm, known->second.vm.startStamp)) {
             wasLeaving = known->second.vm.leaving;
-            upstream.avoidUntil = known->second.avoidUntil;
-        } else if (gone != this->left.end() && !isNewLife(vm, gone->second.started)) {
+            upstream.ejectedUntil = known->second.ejectedUntil;
+        } else if (gone != this->delisted.end() && !isNewLife(vm, gone->second.started)) {
             wasLeaving = true;
         }
-        this->left.erase(id);
+        this->delisted.erase(id);
         upstream.vm.leaving = vm.leaving || wasLeaving;
         if (vm.leaving && !wasLeaving) {
-            this->newlyLeaving.push_back(vm.id);
+            this->newlyDraining.push_back(vm.id);
         }
         next.emplace(id, std::move(upstream));
     }
     for (const auto &[id, upstream] : this->upstreams) {
         if (upstream.vm.leaving && !next.contains(id)) {
-            this->left[id] = {upstream.vm.started, now};
+            this->delisted[id] = {upstream.vm.startStamp, now};
         }
     }
     this->upstreams = std::move(next);
     this->pools.clear();
     for (const auto &[id, upstream] : this->upstreams) {
-        this->pools[upstream.vm.place][upstream.vm.service].push_back(id);
+        this->pools[upstream.vm.dataCentre][upstream.vm.service].push_back(id);
     }
-    this->taken = this->taken || !this->upstreams.empty();
+    this->populated = this->populated || !this->upstreams.empty();
 }
 
-void UpstreamTable::markLeaving(const std::string &id, TimePoint now)
+void UpstreamTable::markDraining(const std::string &id, TimePoint now)
 {
     const RankedLock lock(this->mutex);
     const UpstreamId shortId = upstreamIdOf(id);
     const auto found = this->upstreams.find(shortId);
     if (found == this->upstreams.end()) {
-        if (this->left.emplace(shortId, LeftUpstream{unknownLife, now}).second) {
-            this->newlyLeaving.push_back(id);
+        if (this->delisted.emplace(shortId, DelistedUpstream{unknownLife, now}).second) {
+            this->newlyDraining.push_back(id);
         }
     } else if (!found->second.vm.leaving) {
         found->second.vm.leaving = true;
-        this->newlyLeaving.push_back(id);
+        this->newlyDraining.push_back(id);
     }
 }
 
-std::vector<std::string> UpstreamTable::takeNewlyLeaving()
+std::vector<std::string> UpstreamTable::takeNewlyDraining()
 {
     const RankedLock lock(this->mutex);
-    return std::exchange(this->newlyLeaving, {});
+    return std::exchange(this->newlyDraining, {});
 }
 
 void UpstreamTable::markUnreachable(UpstreamId id, TimePoint now)
@@ -91,7 +92,7 @@
     const RankedLock lock(this->mutex);
     const auto found = this->upstreams.find(id);
     if (found != this->upstreams.end()) {
-        found->second.avoidUntil = now + connectPenalty;
+        found->second.ejectedUntil = now + connectFailureEjection;
     }
 }
 
@@ -110,17 +111,17 @@
     }
     for (const UpstreamId id : pool->second) {
         const Upstream &upstream = this->upstreams.at(id);
-        if (!upstream.vm.leaving && upstream.avoidUntil <= now) {
+        if (!upstream.vm.leaving && upstream.ejectedUntil <= now) {
             result.push_back(upstream);
         }
     }
     return result;
 }
 
-bool UpstreamTable::known() const
+bool UpstreamTable::wasPopulated() const
 {
     const RankedLock lock(this->mutex);
-    return this->taken;
+    return this->populated;
 }
 
 std::optional<Upstream> UpstreamTable::find(UpstreamId id) const
--- a/tests/admission.cpp
+++ b/tests/admission.cpp
@@ -25,7 +25,7 @@
                  "[routing]")
 {
     this->request.expectedDelay = Milliseconds{2500};
-    const Admittance admittance = admit(this->request, this->policy);
+    const AdmissionDecision admittance = admit(this->request, this->policy);
     CHECK(admittance.verdict == AdmissionVerdict::TooLate);
     CHECK(admittance.retryAfter > Milliseconds{0});
 }
@@ -35,14 +35,14 @@
 {
     this->request.expectedDelay = Milliseconds{450};
     CHECK(admit(this->request, this->policy).verdict == AdmissionVerdict::Admitted);
-    this->request.rank = 2;
+    this->request.priority = 2;
     CHECK(admit(this->request, this->policy).verdict == AdmissionVerdict::Overloaded);
 }
 
 TEST_CASE_METHOD(AdmissionFixture, "admission_anyRankWithinObjective_isAdmitted", "[routing]")
 {
     this->request.expectedDelay = this->request.objective;
-    this->request.rank = 9;
+    this->request.priority = 9;
     CHECK(admit(this->request, this->policy).verdict == AdmissionVerdict::Admitted);
 }
 
@@ -69,11 +69,11 @@
                  "[routing]")
 {
     this->request.expectedDelay = Milliseconds{1300};
-    this->request.hash = 0;
+    this->request.jitterSeed = 0;
     const Milliseconds first = admit(this->request, this->policy).retryAfter;
-    this->request.hash = 1023;
+    this->request.jitterSeed = 1023;
     const Milliseconds last = admit(this->request, this->policy).retryAfter;
     CHECK(last > first + (first * 9) / 10);
-    this->request.rank = 2;
+    this->request.priority = 2;
     CHECK(admit(this->request, this->policy).retryAfter > last);
 }
--- a/tests/answerfleet.cpp
+++ b/tests/answerfleet.cpp
@@ -15,13 +15,13 @@
 {
 protected:
     AnswerFixture()
-        : fleet(lowtherWith(ownPorts, 3))
+        : fleet(lowtherDeployment(ownPorts, 3))
     {
-        REQUIRE(this->fleet.startAndMeet());
+        REQUIRE(this->fleet.startAndConverge());
     }
 
-    net::HttpAnswer chat(std::size_t router, const std::string &chatId, const std::string &text,
-                         std::uint32_t tokens, bool stream)
+    net::HttpResponse chat(std::size_t router, const std::string &chatId, const std::string &text,
+                           std::uint32_t tokens, bool stream)
     {
         return this->fleet.chat(router, "token-lowther-0", chatId,
                                 chatBody(this->fleet, text, tokens, stream));
@@ -75,7 +75,7 @@
         engine->dropStreams();
     }
     const auto whole = answer.get();
-    CHECK(whole.end == net::HttpEnd::Whole);
+    CHECK(whole.outcome == net::HttpOutcome::Complete);
     CHECK(eventsIn(whole.body) == tokens + 1);
     CHECK(whole.body.find("data: [DONE]") != std::string::npos);
     for (std::uint32_t index = 0; index < tokens; ++index) {
@@ -88,7 +88,7 @@
     // One request crashes each engine that runs it; its caller repeats it at every router. Long
     // chats run on the same engines. The crasher is held back after two crashes wherever it is
     // sent, and says so truthfully; the long chats are retried and get their answers.
-    std::vector<std::future<net::HttpAnswer>> innocents;
+    std::vector<std::future<net::HttpResponse>> innocents;
     innocents.reserve(10);
     for (int index = 0; index < 10; ++index) {
         innocents.push_back(std::async(std::launch::async, [this, index] {
@@ -98,12 +98,12 @@
     }
     REQUIRE(this->eventuallyLoaded());
     const auto first = this->chat(0, "crash", "crash-the-engine", 10, false);
-    CHECK(kindOf(first) == "upstream-failed");
+    CHECK(refusalKindOf(first) == "upstream-failed");
     CHECK(errorOf(first).value("ran", "") == "unknown");
     for (std::size_t round = 0; round < 9; ++round) {
         const auto repeat =
             this->chat(round % 3, "crash-" + std::to_string(round), "crash-the-engine", 10, false);
-        CHECK(kindOf(repeat) == "quarantined");
+        CHECK(refusalKindOf(repeat) == "quarantined");
         CHECK(errorOf(repeat).value("ran", "") == "no");
     }
     CHECK(this->crashes() == 2);
@@ -114,7 +114,7 @@
 
 TEST_CASE_METHOD(AnswerFixture, "crashRequest_atTwoRoutersAtOnce_staysWithinBound", "[suspects]")
 {
-    std::vector<std::future<net::HttpAnswer>> copies;
+    std::vector<std::future<net::HttpResponse>> copies;
     for (std::size_t router = 0; router < 3; ++router) {
         copies.push_back(std::async(std::launch::async, [this, router] {
             return this->chat(router, "c" + std::to_string(router), "crash-the-engine", 10, false);
@@ -125,7 +125,7 @@
     }
     // Each copy that starts before any news may crash one engine, and retry once.
     CHECK(this->crashes() <= 6);
-    CHECK(kindOf(this->chat(1, "d", "crash-the-engine", 10, false)) == "quarantined");
+    CHECK(refusalKindOf(this->chat(1, "d", "crash-the-engine", 10, false)) == "quarantined");
 }
 
 TEST_CASE_METHOD(AnswerFixture, "stream_callerLeaves_cancelsTheEnginesWork", "[answers]")
@@ -170,7 +170,7 @@
         return this->fleet.call(0, wanted);
     };
     this->fleet.standIns.orders->dropAfterRun(2);
-    REQUIRE(Fleet::eventually([&] { return kindOf(call("broken")) == "quarantined"; }));
+    REQUIRE(Fleet::eventually([&] { return refusalKindOf(call("broken")) == "quarantined"; }));
     CHECK(call("other").status == 200);
-    CHECK(kindOf(call("broken")) == "quarantined");
+    CHECK(refusalKindOf(call("broken")) == "quarantined");
 }
--- a/tests/catalogue.cpp
+++ b/tests/catalogue.cpp
@@ -38,12 +38,12 @@
     // Taking it would serve data in a place that is forbidden by now.
     const Entry old{{EntryKind::DataClass, "narrow"}, 1, DataClass{"o", {"a"}, 0}};
     CHECK(this->table.merge({old}) == 0);
-    CHECK(this->table.view()->dataClasses.at("narrow").places.front() == "b");
+    CHECK(this->table.view()->dataClasses.at("narrow").dataCentres.front() == "b");
 }
 
 TEST_CASE_METHOD(CatalogueFixture, "catalogue_deletedEntry_doesNotComeBack", "[catalogue]")
 {
-    const auto before = this->table.entriesAbove(0);
+    const auto before = this->table.entriesSince(0);
     this->table.merge({{{EntryKind::Workspace, "w"}, 9, std::nullopt}});
     CHECK(this->table.merge(before) == 0);
     CHECK(this->table.view()->workspaces.empty());
@@ -53,7 +53,7 @@
 {
     const auto admitted = admit(*this->table.view(), "secret", "model", Duration{0}, this->reason);
     REQUIRE(admitted);
-    CHECK(admitted->places == std::vector<std::string>{"b"});
+    CHECK(admitted->dataCentres == std::vector<std::string>{"b"});
 }
 
 TEST_CASE_METHOD(CatalogueFixture, "admit_wrongToken_isUnauthorized", "[catalogue]")
--- a/tests/chathints.cpp
+++ b/tests/chathints.cpp
@@ -13,39 +13,40 @@
 {
     Heartbeat member;
     member.id = "router-" + std::to_string(port);
-    member.place = "hall-a";
-    member.datagrams = {"127.0.0.1", port};
+    member.dataCentre = "hall-a";
+    member.datagramEndpoint = {"127.0.0.1", port};
     return member;
 }
 
 class ChatHintsFixture
 {
 protected:
-    [[nodiscard]] GrantView view() const { return {this->engines, this->bound, false}; }
+    [[nodiscard]] GrantContext view() const { return {this->engines, this->bound, false}; }
 
-    SlotReply grant(KeeperTable &keeper, std::uint64_t chat, std::vector<UpstreamId> avoid = {})
+    SlotReply grant(ShardCoordinator &keeper, std::uint64_t chat,
+                    std::vector<UpstreamId> avoid = {})
     {
         return keeper.grant(1, {this->nextAsk++, this->shard, chat, chat, std::move(avoid)},
                             this->view(), true, this->now);
     }
 
     /// Runs each chat once, away from its first engine. \returns where.
-    std::map<std::uint64_t, UpstreamId> displace(KeeperTable &keeper, std::uint64_t chats)
+    std::map<std::uint64_t, UpstreamId> displace(ShardCoordinator &keeper, std::uint64_t chats)
     {
         std::map<std::uint64_t, UpstreamId> result;
         for (std::uint64_t chat = 1; chat <= chats; ++chat) {
-            KeeperTable fresh;
+            ShardCoordinator fresh;
             const UpstreamId first = this->grant(fresh, chat).upstream;
             result[chat] = this->grant(keeper, chat, {first}).upstream;
             keeper.release(1, {shardIdOf(this->shard), {this->nextAsk - 1}});
             REQUIRE(result[chat] != first);
         }
-        this->now += shunPeriod;
+        this->now += ejectionPeriod;
         return result;
     }
 
     /// \returns how many of the chats run where they ran before.
-    std::size_t found(KeeperTable &keeper, const std::map<std::uint64_t, UpstreamId> &places)
+    std::size_t found(ShardCoordinator &keeper, const std::map<std::uint64_t, UpstreamId> &places)
     {
         std::size_t count = 0;
         for (const auto &[chat, engine] : places) {
@@ -56,25 +57,26 @@
     }
 
     /// Carries a second's hints of \a from to \a to, when they are for it.
-    void carry(KeeperTable &from, const Heartbeat &sender, KeeperTable &to, const Heartbeat &target)
+    void carry(ShardCoordinator &from, const Heartbeat &sender, ShardCoordinator &to,
+               const Heartbeat &target)
     {
         for (const auto &[endpoint, hints] :
-             from.hints(sender.datagrams, this->members, this->now)) {
-            if (endpoint == target.datagrams) {
-                to.takeHints(hints, sender.datagrams, this->now);
+             from.takeHints(sender.datagramEndpoint, this->members, this->now)) {
+            if (endpoint == target.datagramEndpoint) {
+                to.receiveHints(hints, sender.datagramEndpoint, this->now);
             }
         }
     }
 
     Shard shard{"model", "hall-a", 0};
     std::vector<UpstreamId> engines{11, 22, 33, 44};
-    BoundSettings bound;
+    LoadBoundSettings bound;
     TimePoint now{Seconds{1}};
     std::uint32_t nextAsk = 1;
     std::vector<Heartbeat> members =
-        keepersOf(this->shard, {routerOf(1), routerOf(2), routerOf(3), routerOf(4)});
-    KeeperTable keeper;
-    KeeperTable next;
+        coordinatorsOf(this->shard, {routerOf(1), routerOf(2), routerOf(3), routerOf(4)});
+    ShardCoordinator keeper;
+    ShardCoordinator next;
 };
 
 } // namespace
@@ -87,7 +89,7 @@
     const auto places = this->displace(this->keeper, 40);
     this->carry(this->keeper, this->members[0], this->next, this->members[1]);
     CHECK(this->found(this->next, places) == places.size());
-    KeeperTable untold;
+    ShardCoordinator untold;
     CHECK(this->found(untold, places) == 0);
 }
 
@@ -95,8 +97,8 @@
 {
     const auto places = this->displace(this->keeper, 400);
     for (const auto &[to, hints] : this->keeper.handOverHints({this->members[1]})) {
-        CHECK(to == this->members[1].datagrams);
-        this->next.takeHints(hints, this->members[0].datagrams, this->now);
+        CHECK(to == this->members[1].datagramEndpoint);
+        this->next.receiveHints(hints, this->members[0].datagramEndpoint, this->now);
     }
     CHECK(this->found(this->next, places) == places.size());
 }
@@ -138,7 +140,7 @@
     for (const auto &[chat, engine] : places) {
         late.chats.push_back({chat, engine == 11 ? 22U : 11U});
     }
-    this->next.takeHints(late, this->members[0].datagrams, this->now);
+    this->next.receiveHints(late, this->members[0].datagramEndpoint, this->now);
     CHECK(this->found(this->next, places) == places.size());
 }
 
@@ -154,7 +156,7 @@
         for (const std::uint32_t step : steps) {
             const std::uint64_t chat = step % 5;
             const UpstreamId hinted = (step / 5) % 2 == 0 ? 11 : (step / 10) % 60;
-            applyHints(state.memory, {1, (step / 7) % 2 == 0, {{chat, hinted}}}, 4);
+            applyHints(state.affinity, {1, (step / 7) % 2 == 0, {{chat, hinted}}}, 4);
             const std::uint64_t total = state.slots.size();
             const SlotReply reply = grantSlot(
                 state, 1, {this->nextAsk++, this->shard, chat, chat, {}}, this->view(), this->now);
@@ -174,19 +176,19 @@
     this->displace(this->keeper, 5000);
     for (int second = 0; second < 20; ++second) {
         const auto sendings =
-            this->keeper.hints(this->members[0].datagrams, this->members, this->now);
-        CHECK(sendings.size() <= 1 + handOverDatagrams);
+            this->keeper.takeHints(this->members[0].datagramEndpoint, this->members, this->now);
+        CHECK(sendings.size() <= 1 + handOverDatagramsPerSecond);
     }
 }
 
 TEST_CASE("chatHintsCodec_fullestHints_fitAndComeBack", "[chathints]")
 {
     ChatHints hints{7, true, {}};
-    for (std::uint64_t chat = 0; chat < chatsInHints; ++chat) {
+    for (std::uint64_t chat = 0; chat < maxChatsPerHintMessage; ++chat) {
         hints.chats.push_back({~chat, ~(chat * 1000)});
     }
     const std::string bytes = encode({1, hints});
-    REQUIRE(bytes.size() <= longestDatagram);
+    REQUIRE(bytes.size() <= maxDatagramBytes);
     const auto message = decode(bytes);
     REQUIRE(message);
     const auto &read = std::get<ChatHints>(message->body);
--- a/tests/claimfleet.cpp
+++ b/tests/claimfleet.cpp
@@ -43,9 +43,9 @@
 {
 protected:
     ClaimFixture()
-        : fleet(lowtherWith(ownPorts, 3))
+        : fleet(lowtherDeployment(ownPorts, 3))
     {
-        REQUIRE(this->fleet.startAndMeet());
+        REQUIRE(this->fleet.startAndConverge());
     }
 
     static net::HttpCall orderCall(const std::string &key, const std::string &body = "sign",
@@ -61,8 +61,8 @@
         return call;
     }
 
-    net::HttpAnswer order(std::size_t router, const std::string &key,
-                          const std::string &body = "sign", std::uint32_t workspace = 0)
+    net::HttpResponse order(std::size_t router, const std::string &key,
+                            const std::string &body = "sign", std::uint32_t workspace = 0)
     {
         return this->fleet.call(router, orderCall(key, body, workspace));
     }
@@ -74,7 +74,7 @@
         phone.send(std::move(call));
     }
 
-    std::future<net::HttpAnswer> orderAside(std::size_t router, const std::string &key)
+    std::future<net::HttpResponse> orderAside(std::size_t router, const std::string &key)
     {
         return std::async(std::launch::async, [=, this] { return this->order(router, key); });
     }
@@ -110,10 +110,10 @@
 TEST_CASE_METHOD(ClaimFixture, "claim_keyMisuse_isToldApart", "[claims]")
 {
     REQUIRE(this->order(0, "k1", "sign").status == 200);
-    CHECK(kindOf(this->order(1, "k1", "refuse")) == "key-reused");
+    CHECK(refusalKindOf(this->order(1, "k1", "refuse")) == "key-reused");
     net::HttpCall otherQuery = orderCall("k1");
     otherQuery.url += "?copies=2";
-    CHECK(kindOf(this->fleet.call(1, otherQuery)) == "key-reused");
+    CHECK(refusalKindOf(this->fleet.call(1, otherQuery)) == "key-reused");
     const auto other = this->order(1, "k1", "sign", 1);
     CHECK(other.status == 200);
     CHECK(other.headers.count("x-repeat") == 0);
@@ -127,7 +127,7 @@
     REQUIRE(this->eventuallyRan(1));
     for (std::size_t router = 0; router < 3; ++router) {
         const auto repeat = this->order(router, "k1");
-        CHECK(kindOf(repeat) == "in-progress");
+        CHECK(refusalKindOf(repeat) == "in-progress");
         CHECK(errorOf(repeat).value("ran", "") == "unknown");
     }
     this->fleet.standIns.orders->letGo();
@@ -148,7 +148,7 @@
     this->fleet.standIns.orders->letGo();
     for (std::size_t router = 1; router < 3; ++router) {
         const auto repeat = this->order(router, "k1");
-        CHECK(kindOf(repeat) == "may-have-run");
+        CHECK(refusalKindOf(repeat) == "may-have-run");
         CHECK(errorOf(repeat).value("ran", "") == "unknown");
     }
     CHECK(this->mostRuns() == 1);
@@ -162,7 +162,7 @@
     this->fleet.setFaults({{"outage", true}});
     for (std::size_t router = 0; router < 3; ++router) {
         const auto refused = this->order(router, "k1");
-        CHECK(kindOf(refused) == "claim-unavailable");
+        CHECK(refusalKindOf(refused) == "claim-unavailable");
         CHECK(errorOf(refused).value("ran", "") == "no");
         CHECK(errorOf(refused).value("scope", "") == "attempt");
         CHECK(refused.headers.count("retry-after") == 1);
@@ -191,7 +191,7 @@
     // repeat runs, once.
     REQUIRE(this->order(0, "warm").status == 200);
     this->fleet.setFaults({{"slowMilliseconds", 2900}});
-    CHECK(kindOf(this->order(0, "k1")) == "claim-unavailable");
+    CHECK(refusalKindOf(this->order(0, "k1")) == "claim-unavailable");
     CHECK(this->mostRuns() == 1);
     this->fleet.setFaults({{"slowMilliseconds", 0}});
     CHECK(Fleet::eventually([&] { return this->order(2, "k1").status == 200; }));
@@ -202,10 +202,10 @@
 {
     this->fleet.standIns.orders->dropAfterRun(1);
     const auto broken = this->order(0, "k1");
-    CHECK(kindOf(broken) == "upstream-failed");
+    CHECK(refusalKindOf(broken) == "upstream-failed");
     CHECK(errorOf(broken).value("ran", "") == "unknown");
-    CHECK(kindOf(this->order(0, "k1")) == "may-have-run");
-    CHECK(kindOf(this->order(1, "k1")) == "may-have-run");
+    CHECK(refusalKindOf(this->order(0, "k1")) == "may-have-run");
+    CHECK(refusalKindOf(this->order(1, "k1")) == "may-have-run");
     CHECK(this->mostRuns() == 1);
 }
 
@@ -240,6 +240,6 @@
 {
     this->fleet.standIns.orders->confuse(1);
     const auto answer = this->order(0, "k1");
-    CHECK(kindOf(answer) == "upstream-garbage");
+    CHECK(refusalKindOf(answer) == "upstream-garbage");
     CHECK(errorOf(answer).value("ran", "") == "unknown");
 }
--- a/tests/claimlog.cpp
+++ b/tests/claimlog.cpp
@@ -15,9 +15,9 @@
 ClaimLogLimits smallLimits()
 {
     ClaimLogLimits limits;
-    limits.segmentPositions = 4;
-    limits.segments = 1000;
-    limits.batch = 3;
+    limits.positionsPerSegment = 4;
+    limits.maxSegments = 1000;
+    limits.maxEntriesPerPosition = 3;
     return limits;
 }
 
@@ -84,8 +84,8 @@
     // A key that says when it was made is refused once it is older than what the log remembers;
     // without that refusal it would look new and run a second time.
     ClaimLogLimits limits = smallLimits();
-    limits.segments = 3;
-    limits.clockSkew = Milliseconds{1000};
+    limits.maxSegments = 3;
+    limits.maxClockSkew = Milliseconds{1000};
     std::size_t expired = 0;
     for (std::uint32_t seed = 1; seed <= 100; ++seed) {
         ClaimWorld world(Breakage::None, limits);
@@ -104,29 +104,30 @@
 TEST_CASE("ownClaims_answersBeyondBound_areForgottenOldestFirst", "[claims]")
 {
     OwnClaims own;
-    own.limits.answerBytes = 10;
-    own.limits.claims = 2;
+    own.limits.maxResponseBytes = 10;
+    own.limits.maxEndedClaims = 2;
     const TimePoint now{Seconds{1}};
     for (std::uint64_t nonce = 1; nonce <= 3; ++nonce) {
         beginClaim(own, {{nonce, 0}, 7, nonce, 0}, now);
-        REQUIRE(startClaim(own, nonce, now));
-        endClaim(own, nonce, OwnState::Done, KeptAnswer{200, "", "12345678"}, now);
+        REQUIRE(dispatchClaim(own, nonce, now));
+        endClaim(own, nonce, OwnClaimState::Done, CachedResponse{200, "", "12345678"}, now);
     }
-    CHECK(ownClaimOf(own, 1).state == OwnState::Unknown);
-    CHECK(ownClaimOf(own, 2).state == OwnState::Done);
-    CHECK_FALSE(ownClaimOf(own, 2).answer);
-    CHECK(ownClaimOf(own, 3).answer);
+    CHECK(ownClaimOf(own, 1).state == OwnClaimState::Unknown);
+    CHECK(ownClaimOf(own, 2).state == OwnClaimState::Done);
+    CHECK_FALSE(ownClaimOf(own, 2).response);
+    CHECK(ownClaimOf(own, 3).response);
 }
 
 TEST_CASE("repeatReason_everyState_isTrueOfTheRequest", "[claims]")
 {
     const Claim holder{{1, 1}, 2, 3, 4};
-    CHECK(repeatReason(4, holder, OwnState::Unknown).kind == ErrorKind::MayHaveRun);
-    CHECK(repeatReason(4, holder, OwnState::Lost).kind == ErrorKind::MayHaveRun);
-    CHECK(repeatReason(4, holder, OwnState::Running).kind == ErrorKind::InProgress);
-    CHECK(repeatReason(4, holder, OwnState::Done).kind == ErrorKind::AlreadyRan);
-    CHECK(repeatReason(4, holder, OwnState::Abandoned).kind == ErrorKind::ClaimUnavailable);
-    CHECK(repeatReason(5, holder, OwnState::Done).kind == ErrorKind::KeyReused);
+    CHECK(duplicateRequestReason(4, holder, OwnClaimState::Unknown).kind == ErrorKind::MayHaveRun);
+    CHECK(duplicateRequestReason(4, holder, OwnClaimState::Lost).kind == ErrorKind::MayHaveRun);
+    CHECK(duplicateRequestReason(4, holder, OwnClaimState::Running).kind == ErrorKind::InProgress);
+    CHECK(duplicateRequestReason(4, holder, OwnClaimState::Done).kind == ErrorKind::AlreadyRan);
+    CHECK(duplicateRequestReason(4, holder, OwnClaimState::Abandoned).kind
+          == ErrorKind::ClaimUnavailable);
+    CHECK(duplicateRequestReason(5, holder, OwnClaimState::Done).kind == ErrorKind::KeyReused);
     CHECK_FALSE(claimIdOf("a", "key") == claimIdOf("b", "key"));
 }
 
--- a/tests/claimworld.h
+++ b/tests/claimworld.h
@@ -111,8 +111,8 @@
     {
         Router &router = this->routers[index];
         const ClaimId id{key, key};
-        const OwnState known = newestClaimOf(router.own, id).state;
-        if (known != OwnState::Unknown && known != OwnState::Abandoned) {
+        const OwnClaimState known = newestClaimOf(router.own, id).state;
+        if (known != OwnClaimState::Unknown && known != OwnClaimState::Abandoned) {
             return;
         }
         const Claim claim{id, router.log.writer, ++this->nonces, key};
@@ -128,7 +128,7 @@
             // The usual writer was asked first, and goes on with the ask beside its owner.
             enqueueClaim(this->routers[(index + 1) % routerCount].log, {claim, issued});
         }
-        this->settle(router, settleClaims(router.log, this->clock.now()));
+        this->settle(router, decideClaims(router.log, this->clock.now()));
     }
 
     Router *ownerOf(std::uint64_t nonce)
@@ -166,12 +166,12 @@
                 continue;
             }
             this->expired += reply.verdict == ClaimVerdict::Expired ? 1 : 0;
-            if (own.state == OwnState::Claiming) {
-                endClaim(owner->own, reply.nonce, OwnState::Abandoned, std::nullopt,
+            if (own.state == OwnClaimState::Claiming) {
+                endClaim(owner->own, reply.nonce, OwnClaimState::Abandoned, std::nullopt,
                          this->clock.now());
             }
             const OwnClaim holder = ownClaimOf(owner->own, reply.holder.nonce);
-            if (holder.state == OwnState::Abandoned) {
+            if (holder.state == OwnClaimState::Abandoned) {
                 releaseClaim(writer.log, holder.claim);
             }
         }
@@ -186,7 +186,7 @@
         }
         const Claim claim = router.ready.front();
         router.ready.erase(router.ready.begin());
-        if (startClaim(router.own, claim.nonce, this->clock.now())
+        if (dispatchClaim(router.own, claim.nonce, this->clock.now())
             || this->breakage == Breakage::DispatchAbandoned) {
             this->history.push_back({HistoryKind::Ran, claim.id.high, claim.nonce, 0});
             if (this->breakage == Breakage::ReleaseDispatched) {
@@ -203,10 +203,11 @@
         }
         const Claim claim = router.open.front();
         router.open.erase(router.open.begin());
-        if (ownClaimOf(router.own, claim.nonce).state != OwnState::Claiming) {
+        if (ownClaimOf(router.own, claim.nonce).state != OwnClaimState::Claiming) {
             return;
         }
-        endClaim(router.own, claim.nonce, OwnState::Abandoned, std::nullopt, this->clock.now());
+        endClaim(router.own, claim.nonce, OwnClaimState::Abandoned, std::nullopt,
+                 this->clock.now());
         releaseClaim(router.log, claim);
         this->history.push_back({HistoryKind::RefusedNotRun, claim.id.high, claim.nonce, 0});
     }
@@ -219,7 +220,7 @@
         if (!call) {
             return;
         }
-        StoreAnswer answer;
+        StoreResponse answer;
         if (fault == StoreFault::Late && call->write) {
             this->late.push_back(*call);
         } else if (fault == StoreFault::AnswerLost) {
@@ -229,7 +230,7 @@
         } else if (fault == StoreFault::None) {
             answer = this->apply(*call);
         }
-        this->settle(router, takeStoreAnswer(router.log, answer, this->clock.now()));
+        this->settle(router, handleStoreResponse(router.log, answer, this->clock.now()));
     }
 
     void applyLate()
@@ -240,7 +241,7 @@
         }
     }
 
-    StoreAnswer apply(const StoreCall &call)
+    StoreResponse apply(const StoreCall &call)
     {
         Object &object = this->store[call.name];
         const bool holds =
--- a/tests/concurrency.cpp
+++ b/tests/concurrency.cpp
@@ -41,7 +41,7 @@
     {
         this->server = std::make_unique<net::HttpServer>(
             this->context, net::HttpServerOptions{"127.0.0.1", ownPort},
-            [](const net::HttpRequest &request, const std::shared_ptr<net::HttpReply> &reply) {
+            [](const net::HttpRequest &request, const std::shared_ptr<net::HttpResponder> &reply) {
                 if (request.path == "/cut") {
                     reply->start(statusOk, {});
                     reply->write("part", nullptr);
@@ -91,7 +91,7 @@
     CatalogueTable catalogue;
     MemberTable members;
     UpstreamTable upstreams;
-    KeeperTable keeper;
+    ShardCoordinator keeper;
     ExplainTable explain;
     Metrics metrics;
     const Shard shard{"model", "here", 0};
@@ -102,15 +102,15 @@
             const std::string name = "name-" + std::to_string(round % 7);
             catalogue.merge({{{EntryKind::DataClass, name}, round, DataClass{"o", {"here"}, 0}}});
             static_cast<void>(catalogue.view());
-            members.hear({name, "here", {}, {}, round, round, false}, now);
+            members.receiveHeartbeat({name, "here", {}, {}, round, round, false}, now);
             static_cast<void>(members.active());
             upstreams.replace({{name, VmRole::Engine, "model", "here", {"127.0.0.1", 1}, false}});
             static_cast<void>(upstreams.ready("model", "here", now));
             const std::uint32_t askId = round;
-            const SlotAsk ask{askId, shard, round, round, {}};
+            const SlotRequest ask{askId, shard, round, round, {}};
             keeper.grant(thread, ask, {engines, {}, false}, true, now);
             keeper.release(thread, {shardIdOf(shard), {askId}});
-            explain.keep({name, {"step"}});
+            explain.record({name, {"step"}});
             metrics.record(Timing::Whole, name, "class", Milliseconds{round}, TimePoint{});
             metrics.count(Counter::Requests);
         }
@@ -128,13 +128,13 @@
             const std::string name = std::to_string(thread) + "-" + std::to_string(round);
             net::HttpCall call = this->callTo("/echo");
             call.headers["x-name"] = name;
-            std::promise<net::HttpAnswer> answer;
-            this->client.fetch(std::move(call), [&answer](net::HttpAnswer got) {
+            std::promise<net::HttpResponse> answer;
+            this->client.fetch(std::move(call), [&answer](net::HttpResponse got) {
                 answer.set_value(std::move(got));
             });
-            const net::HttpAnswer got = answer.get_future().get();
-            const bool good = got.end == net::HttpEnd::Whole && got.headers.at("x-echo") == name
-                              && got.body.size() == 50;
+            const net::HttpResponse got = answer.get_future().get();
+            const bool good = got.outcome == net::HttpOutcome::Complete
+                              && got.headers.at("x-echo") == name && got.body.size() == 50;
             wrong += good ? 0 : 1;
         }
     });
@@ -145,10 +145,10 @@
 {
     // An upstream sends a part of its answer and then breaks the connection off. If that looked
     // like an end, the caller would take the part for its whole answer.
-    std::promise<net::HttpAnswer> answer;
+    std::promise<net::HttpResponse> answer;
     this->client.fetch(this->callTo("/cut"),
-                       [&answer](net::HttpAnswer got) { answer.set_value(std::move(got)); });
-    CHECK(answer.get_future().get().end == net::HttpEnd::Broken);
+                       [&answer](net::HttpResponse got) { answer.set_value(std::move(got)); });
+    CHECK(answer.get_future().get().outcome == net::HttpOutcome::Broken);
 }
 
 TEST_CASE_METHOD(HttpFixture, "httpServer_moreConnectionsThanAllowed_marksRequestsCrowded",
@@ -156,17 +156,18 @@
 {
     constexpr std::uint16_t crowdedPort = ownPort + 1;
     std::atomic<bool> crowded = false;
-    net::HttpServer small(
-        this->context, net::HttpServerOptions{"127.0.0.1", crowdedPort, 1000, 0},
-        [&crowded](const net::HttpRequest &request, const std::shared_ptr<net::HttpReply> &reply) {
-            crowded = request.crowded;
-            reply->respond(statusOk, {}, "");
-        });
+    net::HttpServer small(this->context, net::HttpServerOptions{"127.0.0.1", crowdedPort, 1000, 0},
+                          [&crowded](const net::HttpRequest &request,
+                                     const std::shared_ptr<net::HttpResponder> &reply) {
+                              crowded = request.connectionLimitExceeded;
+                              reply->respond(statusOk, {}, "");
+                          });
     small.open();
     net::HttpCall call;
     call.url = "http://127.0.0.1:" + std::to_string(crowdedPort) + "/";
-    std::promise<net::HttpAnswer> answer;
-    this->client.fetch(call, [&answer](net::HttpAnswer got) { answer.set_value(std::move(got)); });
+    std::promise<net::HttpResponse> answer;
+    this->client.fetch(call,
+                       [&answer](net::HttpResponse got) { answer.set_value(std::move(got)); });
     CHECK(answer.get_future().get().status == statusOk);
     CHECK(crowded);
 }
@@ -179,7 +180,7 @@
     for (int index = 0; index < 50; ++index) {
         net::HttpEvents events;
         events.onData = [](std::string_view) { return false; };
-        events.onEnd = [&ends](net::HttpEnd, const std::string &) { ++ends; };
+        events.onEnd = [&ends](net::HttpOutcome, const std::string &) { ++ends; };
         exchanges.push_back(this->client.start(this->callTo("/echo"), std::move(events)));
     }
     runTogether([&](std::uint32_t) {
--- a/tests/controlmetrics.cpp
+++ b/tests/controlmetrics.cpp
@@ -32,17 +32,17 @@
 {
     CHECK(isCountedAs<SwimMessage>(ControlKind::Swim));
     CHECK(isCountedAs<LeavingNotice>(ControlKind::Leaving));
-    CHECK(isCountedAs<SlotAsk>(ControlKind::SlotAsk));
+    CHECK(isCountedAs<SlotRequest>(ControlKind::SlotAsk));
     CHECK(isCountedAs<SlotReply>(ControlKind::SlotReply));
     CHECK(isCountedAs<SlotRelease>(ControlKind::SlotRelease));
-    CHECK(isCountedAs<ClaimAsk>(ControlKind::ClaimAsk));
+    CHECK(isCountedAs<ClaimRequest>(ControlKind::ClaimAsk));
     CHECK(isCountedAs<ClaimReply>(ControlKind::ClaimReply));
     CHECK(isCountedAs<ClaimRelease>(ControlKind::ClaimRelease));
-    CHECK(isCountedAs<SuspectNews>(ControlKind::SuspectNews));
+    CHECK(isCountedAs<SuspectUpdate>(ControlKind::SuspectNews));
     CHECK(isCountedAs<LimitReport>(ControlKind::LimitReport));
     CHECK(isCountedAs<LimitShares>(ControlKind::LimitShares));
     CHECK(isCountedAs<SlotDigest>(ControlKind::SlotDigest));
-    CHECK(isCountedAs<SlotListAsk>(ControlKind::SlotListAsk));
+    CHECK(isCountedAs<SlotListRequest>(ControlKind::SlotListAsk));
     CHECK(isCountedAs<SlotList>(ControlKind::SlotList));
     CHECK(isCountedAs<ShardSummary>(ControlKind::ShardSummary));
     CHECK(isCountedAs<ChatHints>(ControlKind::ChatHints));
--- a/tests/crashquarantine.cpp
+++ b/tests/crashquarantine.cpp
@@ -14,19 +14,19 @@
     {
         const TimePoint begunAt = this->clock.now();
         this->clock.advance(Milliseconds{1});
-        this->suspects.noteBroken(request, life, begunAt, this->clock.now());
+        this->suspects.recordBrokenAnswer(request, life, begunAt, this->clock.now());
         this->clock.advance(Milliseconds{100});
-        this->suspects.confirm(life, this->clock.now());
+        this->suspects.confirmCrash(life, this->clock.now());
     }
 
     [[nodiscard]] bool isHeld(RequestFingerprint request) const
     {
-        return this->suspects.isHeld(request, this->clock.now());
+        return this->suspects.isQuarantined(request, this->clock.now());
     }
 
     [[nodiscard]] bool mayRun(bool isFirst)
     {
-        return this->suspects.letThrough(7, isFirst, this->clock.now());
+        return this->suspects.allowTrial(7, isFirst, this->clock.now());
     }
 
     /// When a request was sent that has been running for a while.
@@ -37,7 +37,7 @@
         return {request, life, this->longAgo(), this->clock.now()};
     }
 
-    CrashSuspects suspects;
+    CrashQuarantine suspects;
     ManualClock clock;
 };
 
@@ -60,7 +60,7 @@
                  "[routing]")
 {
     for (std::uint64_t life = 1; life <= 9; ++life) {
-        this->suspects.noteBroken(7, life, this->longAgo(), this->clock.now());
+        this->suspects.recordBrokenAnswer(7, life, this->longAgo(), this->clock.now());
         this->clock.advance(Milliseconds{100});
     }
     CHECK_FALSE(this->isHeld(7));
@@ -71,7 +71,7 @@
     // A small call that many send alike was on two upstreams that crashed for another reason.
     this->crash(7, 1);
     this->crash(7, 2);
-    CHECK(this->suspects.clear(7, this->clock.now()));
+    CHECK(this->suspects.clearSuspect(7, this->clock.now()));
     this->crash(7, 3);
     CHECK_FALSE(this->isHeld(7));
 }
@@ -81,12 +81,12 @@
 {
     // A data centre loses power, and calls that are all alike ran on three of its upstreams.
     for (std::uint64_t life = 1; life <= 3; ++life) {
-        this->suspects.noteBroken(7, life, this->longAgo(), this->clock.now());
+        this->suspects.recordBrokenAnswer(7, life, this->longAgo(), this->clock.now());
     }
     for (std::uint64_t life = 1; life <= 3; ++life) {
         // Each is found down when it is tried again.
         this->clock.advance(Milliseconds{500});
-        this->suspects.confirm(life, this->clock.now());
+        this->suspects.confirmCrash(life, this->clock.now());
     }
     CHECK_FALSE(this->isHeld(7));
 }
@@ -96,12 +96,12 @@
     // Each attempt reaches another router. What they tell each other adds up, and the same crash
     // told twice doesn't.
     this->crash(7, 1);
-    this->suspects.take(this->crashNow(7, 2), this->clock.now());
+    this->suspects.recordCrash(this->crashNow(7, 2), this->clock.now());
     this->clock.advance(Seconds{1});
-    this->suspects.take(this->crashNow(7, 2), this->clock.now());
+    this->suspects.recordCrash(this->crashNow(7, 2), this->clock.now());
     CHECK_FALSE(this->isHeld(7));
     this->clock.advance(Seconds{1});
-    this->suspects.take(this->crashNow(7, 3), this->clock.now());
+    this->suspects.recordCrash(this->crashNow(7, 3), this->clock.now());
     CHECK(this->isHeld(7));
 }
 
@@ -112,14 +112,14 @@
         this->crash(7, life);
     }
     CHECK_FALSE(this->mayRun(true));
-    this->clock.advance(firstHold);
+    this->clock.advance(initialQuarantine);
     CHECK(this->mayRun(true));
     CHECK_FALSE(this->mayRun(true));
     CHECK(this->isHeld(7));
     this->crash(7, 4);
-    this->clock.advance(firstHold);
+    this->clock.advance(initialQuarantine);
     CHECK_FALSE(this->mayRun(true));
-    this->clock.advance(firstHold * (holdGrowth - 1));
+    this->clock.advance(initialQuarantine * (quarantineGrowth - 1));
     CHECK(this->mayRun(true));
 }
 
@@ -131,7 +131,7 @@
     for (std::uint64_t life = 1; life <= 12; ++life) {
         this->crash(7, life);
     }
-    this->clock.advance(firstHold);
+    this->clock.advance(initialQuarantine);
     CHECK(this->mayRun(true));
 }
 
@@ -141,9 +141,9 @@
     for (std::uint64_t life = 1; life <= 3; ++life) {
         this->crash(7, life);
     }
-    this->clock.advance(firstHold);
+    this->clock.advance(initialQuarantine);
     CHECK_FALSE(this->mayRun(false));
-    this->clock.advance(2 * firstHold);
+    this->clock.advance(2 * initialQuarantine);
     CHECK(this->mayRun(false));
 }
 
@@ -154,9 +154,9 @@
     for (std::uint64_t life = 1; life <= 3; ++life) {
         this->crash(7, life);
     }
-    this->clock.advance(firstHold);
+    this->clock.advance(initialQuarantine);
     REQUIRE(this->mayRun(true));
-    CHECK(this->suspects.clear(7, this->clock.now()));
+    CHECK(this->suspects.clearSuspect(7, this->clock.now()));
     CHECK_FALSE(this->isHeld(7));
 }
 
@@ -165,16 +165,16 @@
     for (std::uint64_t life = 1; life <= 3; ++life) {
         this->crash(7, life);
     }
-    this->clock.advance(longestHold);
+    this->clock.advance(maxQuarantine);
     CHECK_FALSE(this->isHeld(7));
 }
 
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_foundDownMuchLater_isNoCrash", "[routing]")
 {
     for (std::uint64_t life = 1; life <= 3; ++life) {
-        this->suspects.noteBroken(7, life, this->longAgo(), this->clock.now());
-        this->clock.advance(crashConfirmation + Milliseconds{1});
-        CHECK(this->suspects.confirm(life, this->clock.now()).empty());
+        this->suspects.recordBrokenAnswer(7, life, this->longAgo(), this->clock.now());
+        this->clock.advance(crashConfirmationWindow + Milliseconds{1});
+        CHECK(this->suspects.confirmCrash(life, this->clock.now()).empty());
     }
     CHECK_FALSE(this->isHeld(7));
 }
@@ -186,14 +186,14 @@
     // one upstream after the other. Others are answered all the while. The upstreams are found down
     // only then: who was answered since did not crash them, or half of all calls would be refused.
     for (std::uint64_t life = 1; life <= 3; ++life) {
-        this->suspects.noteBroken(7, life, this->longAgo(), this->clock.now());
-        this->suspects.noteBroken(8, life, this->longAgo(), this->clock.now());
+        this->suspects.recordBrokenAnswer(7, life, this->longAgo(), this->clock.now());
+        this->suspects.recordBrokenAnswer(8, life, this->longAgo(), this->clock.now());
         this->clock.advance(Milliseconds{100});
     }
-    this->suspects.clear(7, this->clock.now());
+    this->suspects.clearSuspect(7, this->clock.now());
     this->clock.advance(Milliseconds{100});
     for (std::uint64_t life = 1; life <= 3; ++life) {
-        this->suspects.confirm(life, this->clock.now());
+        this->suspects.confirmCrash(life, this->clock.now());
     }
     CHECK_FALSE(this->isHeld(7));
     CHECK(this->isHeld(8));
@@ -206,10 +206,11 @@
     this->crash(7, 1);
     const TimePoint before = this->clock.now();
     this->clock.advance(Milliseconds{100});
-    CHECK(this->suspects.clear(7, this->clock.now()));
+    CHECK(this->suspects.clearSuspect(7, this->clock.now()));
     for (std::uint64_t life = 2; life <= 4; ++life) {
         const Milliseconds apart{100 * static_cast<int>(life)};
-        this->suspects.take({7, life, before - 2 * apart, before - apart}, this->clock.now());
+        this->suspects.recordCrash({7, life, before - 2 * apart, before - apart},
+                                   this->clock.now());
     }
     CHECK_FALSE(this->isHeld(7));
 }
@@ -223,10 +224,10 @@
     for (std::uint64_t life = 1; life <= 3; ++life) {
         const TimePoint begunAt = this->clock.now();
         this->clock.advance(Milliseconds{2});
-        this->suspects.noteBroken(7, life, begunAt, this->clock.now());
+        this->suspects.recordBrokenAnswer(7, life, begunAt, this->clock.now());
     }
     for (std::uint64_t life = 1; life <= 3; ++life) {
-        this->suspects.confirm(life, this->clock.now());
+        this->suspects.confirmCrash(life, this->clock.now());
     }
     CHECK(this->isHeld(7));
 }
@@ -240,10 +241,10 @@
         this->crash(7, life);
     }
     this->crash(8, 4);
-    CrashSuspects started;
-    for (const CrashReport &report : this->suspects.heldCrashes(this->clock.now())) {
-        started.take(report, this->clock.now());
+    CrashQuarantine started;
+    for (const CrashReport &report : this->suspects.quarantinedCrashes(this->clock.now())) {
+        started.recordCrash(report, this->clock.now());
     }
-    CHECK(started.isHeld(7, this->clock.now()));
-    CHECK(this->suspects.heldCrashes(this->clock.now()).size() == crashesToHold);
+    CHECK(started.isQuarantined(7, this->clock.now()));
+    CHECK(this->suspects.quarantinedCrashes(this->clock.now()).size() == quarantineThreshold);
 }
--- a/tests/draining.cpp
+++ b/tests/draining.cpp
@@ -34,7 +34,7 @@
         this->table = std::make_unique<UpstreamTable>();
         this->table->replace(vms, now);
     }
-    void markLeaving(const std::string &id, TimePoint now) { this->table->markLeaving(id, now); }
+    void markDraining(const std::string &id, TimePoint now) { this->table->markDraining(id, now); }
     [[nodiscard]] std::vector<Upstream> ready(std::string_view service, std::string_view place,
                                               TimePoint now) const
     {
@@ -53,7 +53,7 @@
     ManualClock clock;
     Table table;
     table.replace({engineOf(false)}, clock.now());
-    table.markLeaving("engine", clock.now());
+    table.markDraining("engine", clock.now());
     for (const std::uint32_t step : steps) {
         clock.advance(Milliseconds{100 * (step % 10)});
         const bool listed = step % 3 != 0;
@@ -85,7 +85,7 @@
 TEST_CASE_METHOD(LeavingFixture, "leaving_noticeBeforeList_sticks", "[leaving]")
 {
     // A peer's notice overtakes the lagging list that first shows the VM.
-    this->table.markLeaving("engine", this->clock.now());
+    this->table.markDraining("engine", this->clock.now());
     this->list({engineOf(false, 5)});
     CHECK_FALSE(this->serves());
 }
@@ -103,7 +103,7 @@
 {
     this->list({engineOf(true)});
     this->list({});
-    this->clock.advance(newLifeAfter + Seconds{1});
+    this->clock.advance(newIncarnationAfter + Seconds{1});
     this->list({engineOf(false)});
     CHECK(this->serves());
 }
@@ -111,8 +111,8 @@
 TEST_CASE_METHOD(LeavingFixture, "leaving_heardTwice_isToldOnce", "[leaving]")
 {
     this->list({engineOf(false)});
-    this->table.markLeaving("engine", this->clock.now());
-    this->table.markLeaving("engine", this->clock.now());
-    CHECK(this->table.takeNewlyLeaving().size() == 1);
-    CHECK(this->table.takeNewlyLeaving().empty());
+    this->table.markDraining("engine", this->clock.now());
+    this->table.markDraining("engine", this->clock.now());
+    CHECK(this->table.takeNewlyDraining().size() == 1);
+    CHECK(this->table.takeNewlyDraining().empty());
 }
--- a/tests/enginecoordinator.cpp
+++ b/tests/enginecoordinator.cpp
@@ -9,13 +9,14 @@
 class EngineKeeperFixture
 {
 protected:
-    EngineAnswer ask(const std::string &router, std::uint64_t number, double bound = 3.0,
-                     std::uint32_t told = 0)
+    EngineGrantReply ask(const std::string &router, std::uint64_t number, double bound = 3.0,
+                         std::uint32_t told = 0)
     {
-        return this->keeper.ask({router, number, 7, {1, 2}, 1000, bound}, told, this->clock.now());
+        return this->keeper.requestGrant({router, number, 7, {1, 2}, 1000, bound}, told,
+                                         this->clock.now());
     }
 
-    EngineKeeper keeper{100.0};
+    EngineCoordinator keeper{100.0};
     ManualClock clock;
 };
 
@@ -30,7 +31,7 @@
         granted += this->ask("router-" + std::to_string(number), number).granted ? 1 : 0;
     }
     CHECK(granted == 3);
-    this->keeper.end("router-1", 1, 7);
+    this->keeper.releaseGrant("router-1", 1, 7);
     CHECK(this->ask("router-9", 100).granted);
     CHECK_FALSE(this->ask("router-9", 101).granted);
 }
@@ -41,27 +42,27 @@
     // Engines are replaced all day, each start is a new one. A keeper that ran for months must not
     // remember them all; one on which a request still runs must not be forgotten.
     CHECK(this->ask("a", 1).granted);
-    this->clock.advance(idleEngineAge + Seconds{1});
-    this->keeper.forgetIdle(this->clock.now());
+    this->clock.advance(idleEngineRetention + Seconds{1});
+    this->keeper.removeIdleEngines(this->clock.now());
     CHECK(this->keeper.engineCount() == 1);
-    this->keeper.end("a", 1, 7);
-    this->keeper.forgetIdle(this->clock.now());
+    this->keeper.releaseGrant("a", 1, 7);
+    this->keeper.removeIdleEngines(this->clock.now());
     CHECK(this->keeper.engineCount() == 0);
 }
 
 TEST_CASE_METHOD(EngineKeeperFixture, "engineKeeper_chainGrantedBefore_isKnownToTheNext",
                  "[routing]")
 {
-    CHECK(this->ask("a", 1).knownParts == 0);
-    CHECK(this->ask("b", 1).knownParts == 2);
+    CHECK(this->ask("a", 1).cachedParts == 0);
+    CHECK(this->ask("b", 1).cachedParts == 2);
 }
 
 TEST_CASE_METHOD(EngineKeeperFixture, "engineKeeper_unreadTokens_areReadAsTimePasses", "[routing]")
 {
-    CHECK(this->ask("a", 1).unreadTokens == 0.0);
-    CHECK(this->ask("a", 2).unreadTokens == Approx(1000.0));
+    CHECK(this->ask("a", 1).pendingPrefillTokens == 0.0);
+    CHECK(this->ask("a", 2).pendingPrefillTokens == Approx(1000.0));
     this->clock.advance(Milliseconds{5});
-    CHECK(this->ask("a", 3).unreadTokens == Approx(500.0));
+    CHECK(this->ask("a", 3).pendingPrefillTokens == Approx(500.0));
 }
 
 TEST_CASE_METHOD(EngineKeeperFixture, "engineKeeper_endIsLost_grantIsTakenBackByItsRoutersNews",
@@ -73,7 +74,7 @@
     this->ask("a", 2);
     this->keeper.reconcile("a", 7, 0, this->clock.now());
     CHECK(this->ask("b", 1).running == 3);
-    this->clock.advance(lostEndAge);
+    this->clock.advance(orphanedGrantTimeout);
     this->keeper.reconcile("a", 7, 1, this->clock.now());
     CHECK(this->ask("b", 2).running == 3);
 }
@@ -82,10 +83,10 @@
 {
     this->ask("a", 1);
     this->ask("a", 2);
-    CHECK(this->keeper.livesOf("a") == std::vector<std::uint64_t>{7});
-    this->keeper.forgetRouter("a");
+    CHECK(this->keeper.incarnationsGrantedTo("a") == std::vector<std::uint64_t>{7});
+    this->keeper.releaseRouter("a");
     CHECK(this->ask("b", 1).running == 1);
-    CHECK(this->keeper.livesOf("a").empty());
+    CHECK(this->keeper.incarnationsGrantedTo("a").empty());
 }
 
 TEST_CASE_METHOD(EngineKeeperFixture, "engineKeeper_newKeeper_believesTheRoutersForAWhile",
@@ -94,6 +95,6 @@
     // An engine's keeper has died, and the next one knows none of its grants. Without the routers'
     // word it would fill the engine a second time.
     CHECK_FALSE(this->ask("a", 1, 3.0, 3).granted);
-    this->clock.advance(inheritSpan);
+    this->clock.advance(takeoverPeriod);
     CHECK(this->ask("a", 2, 3.0, 3).granted);
 }
--- a/tests/eventrelay.cpp
+++ b/tests/eventrelay.cpp
@@ -31,7 +31,7 @@
             at += size;
         }
         CHECK(out == stream);
-        CHECK(relay.events() == 50);
+        CHECK(relay.eventCount() == 50);
         CHECK_FALSE(relay.hasPartial());
     }
 }
@@ -73,5 +73,5 @@
 {
     EventRelay relay;
     std::string out;
-    CHECK_FALSE(relay.feed("data: " + std::string(longestStreamEvent, 'x'), out));
+    CHECK_FALSE(relay.feed("data: " + std::string(maxStreamEventBytes, 'x'), out));
 }
--- a/tests/fairqueue.cpp
+++ b/tests/fairqueue.cpp
@@ -11,10 +11,10 @@
 
 constexpr std::uint32_t allowedWait = 1000;
 
-SlotAsk askOf(std::uint32_t id, std::uint64_t workspace, std::uint32_t weight = 1,
-              std::uint32_t priority = 0)
+SlotRequest askOf(std::uint32_t id, std::uint64_t workspace, std::uint32_t weight = 1,
+                  std::uint32_t priority = 0)
 {
-    SlotAsk ask{id, {"model", "hall-a", 0}, id, id, {}};
+    SlotRequest ask{id, {"model", "hall-a", 0}, id, id, {}};
     ask.waitMilliseconds = allowedWait;
     ask.workspace = workspace;
     ask.weight = weight;
@@ -25,15 +25,15 @@
 class QueueFixture
 {
 protected:
-    QueueVerdict add(const SlotAsk &ask)
+    QueueVerdict add(const SlotRequest &ask)
     {
-        return enqueueAsk(this->queue, 1, ask, this->settings, this->clock.now()).verdict;
+        return enqueueRequest(this->queue, 1, ask, this->settings, this->clock.now()).verdict;
     }
 
     std::uint64_t serve()
     {
-        const std::uint64_t workspace = nextAsk(this->queue)->ask.workspace;
-        popAsk(this->queue, true, this->clock.now());
+        const std::uint64_t workspace = peekRequest(this->queue)->request.workspace;
+        popRequest(this->queue, true, this->clock.now());
         return workspace;
     }
 
@@ -49,16 +49,16 @@
 
     void arrive(std::uint64_t workspace)
     {
-        const SlotAsk ask = askOf(this->nextId++, workspace);
+        const SlotRequest ask = askOf(this->nextId++, workspace);
         QueueSettings settings;
-        settings.mostForWeight = this->fault == Fault::Unbounded ? 100'000 : mostQueued;
-        SlotAsk queued = ask;
+        settings.maxPerWeight = this->fault == Fault::Unbounded ? 100'000 : mostQueued;
+        SlotRequest queued = ask;
         queued.workspace = this->fault == Fault::FirstInFirstOut ? 0 : workspace;
         queued.waitMilliseconds =
             this->fault == Fault::Unbounded ? 1000 * allowedWait : allowedWait;
-        const auto outcome = enqueueAsk(this->queue, 1, queued, settings, this->clock.now());
+        const auto outcome = enqueueRequest(this->queue, 1, queued, settings, this->clock.now());
         if (outcome.verdict == QueueVerdict::Queued) {
-            this->waiting[ask.askId] = workspace;
+            this->waiting[ask.requestId] = workspace;
         } else if (workspace == quiet) {
             ++this->quietUnserved;
         }
@@ -67,29 +67,29 @@
 
     void expire()
     {
-        for (const QueuedAsk &each : expireAsks(this->queue, this->clock.now())) {
-            this->expired.insert(each.ask.askId);
-            if (this->waiting.at(each.ask.askId) == quiet) {
+        for (const QueuedRequest &each : expireRequests(this->queue, this->clock.now())) {
+            this->expired.insert(each.request.requestId);
+            if (this->waiting.at(each.request.requestId) == quiet) {
                 ++this->quietUnserved;
             }
             if (this->fault == Fault::GrantAfterExpiry) {
-                this->granted.insert(each.ask.askId);
+                this->granted.insert(each.request.requestId);
             }
         }
     }
 
     void serve()
     {
-        const QueuedAsk *next = nextAsk(this->queue);
+        const QueuedRequest *next = peekRequest(this->queue);
         if (next == nullptr) {
             return;
         }
         const SlotReply reply =
-            grantSlot(this->shard, 1, next->ask, {{11}, {}, false}, this->clock.now());
+            grantSlot(this->shard, 1, next->request, {{11}, {}, false}, this->clock.now());
         if (reply.verdict == SlotVerdict::Granted) {
-            this->granted.insert(next->ask.askId);
-            releaseSlot(this->shard, {1, next->ask.askId});
-            popAsk(this->queue, true, this->clock.now());
+            this->granted.insert(next->request.requestId);
+            releaseSlot(this->shard, {1, next->request.requestId});
+            popRequest(this->queue, true, this->clock.now());
         }
     }
 
@@ -127,8 +127,8 @@
         history.clock.advance(Milliseconds{50});
         // The router repeats what waits, so silence plays no part here.
         for (auto &[workspace, flow] : history.queue.flows) {
-            for (QueuedAsk &queued : flow.waiting) {
-                queued.heard = history.clock.now();
+            for (QueuedRequest &queued : flow.waiting) {
+                queued.lastRepeatedAt = history.clock.now();
             }
         }
         history.expire();
@@ -173,7 +173,7 @@
 {
     this->add(askOf(1, 1, 1, 0));
     this->add(askOf(2, 1, 1, 9));
-    CHECK(nextAsk(this->queue)->ask.askId == 2);
+    CHECK(peekRequest(this->queue)->request.requestId == 2);
 }
 
 TEST_CASE_METHOD(QueueFixture, "fairQueue_repeatedAsk_isQueuedOnce", "[fairqueue]")
@@ -189,9 +189,9 @@
     // member timeout; so a router that doesn't repeat its asks loses its place.
     this->add(askOf(1, 1));
     this->add(askOf(2, 1));
-    CHECK(cancelAsk(this->queue, {1, 1}));
-    this->clock.advance(askerTimeout + Milliseconds{1});
-    CHECK(expireAsks(this->queue, this->clock.now()).size() == 1);
+    CHECK(cancelRequest(this->queue, {1, 1}));
+    this->clock.advance(requesterTimeout + Milliseconds{1});
+    CHECK(expireRequests(this->queue, this->clock.now()).size() == 1);
     CHECK(this->queue.length == 0);
 }
 
@@ -207,12 +207,12 @@
         this->serve();
     }
     std::uint32_t id = 100;
-    QueueOutcome outcome;
+    EnqueueResult outcome;
     do {
-        outcome = enqueueAsk(this->queue, 1, askOf(id++, 1), this->settings, this->clock.now());
+        outcome = enqueueRequest(this->queue, 1, askOf(id++, 1), this->settings, this->clock.now());
     } while (outcome.verdict == QueueVerdict::Queued);
     CHECK(this->queue.length == 10);
-    CHECK(outcome.expected > Milliseconds{allowedWait});
+    CHECK(outcome.expectedWait > Milliseconds{allowedWait});
     CHECK(this->add(askOf(200, 2)) == QueueVerdict::Queued);
 }
 
--- a/tests/fleetcut.cpp
+++ b/tests/fleetcut.cpp
@@ -38,7 +38,7 @@
 
 Deployment deploymentIn(const std::vector<std::string> &places, std::uint32_t routers)
 {
-    Deployment deployment = lowtherWith(ownPorts, routers);
+    Deployment deployment = lowtherDeployment(ownPorts, routers);
     deployment.places = places;
     return deployment;
 }
@@ -68,7 +68,7 @@
         return Fleet::eventually([&] {
             const std::lock_guard lock(this->mutex);
             for (std::size_t router = 0; router < this->fleet.layout.size(); ++router) {
-                if (!timeToForce(this->seen, edit, router)) {
+                if (!propagationTime(this->seen, edit, router)) {
                     return false;
                 }
             }
@@ -77,7 +77,7 @@
     }
 
     /// Ends the recording. \returns it.
-    const std::vector<VersionSeen> &end()
+    const std::vector<VersionObservation> &end()
     {
         this->ended = true;
         if (this->thread.joinable()) {
@@ -106,7 +106,7 @@
     Fleet &fleet;
     std::chrono::steady_clock::time_point began;
     std::mutex mutex;
-    std::vector<VersionSeen> seen;
+    std::vector<VersionObservation> seen;
     std::atomic<bool> ended = false;
     std::thread thread;
 };
@@ -118,7 +118,7 @@
     explicit HalvedFleet(const Deployment &deployment)
         : fleet(deployment)
     {
-        REQUIRE(this->fleet.startAndMeet());
+        REQUIRE(this->fleet.startAndConverge());
         this->versions = std::make_unique<VersionWatch>(this->fleet);
         for (std::uint32_t caller = 0; caller < callers; ++caller) {
             this->threads.emplace_back([this, caller] { this->runCaller(caller); });
@@ -189,12 +189,12 @@
     void expectPromisesKept(const std::vector<AcceptedEdit> &edits)
     {
         this->endCallers();
-        const std::vector<VersionSeen> &seen = this->versions->end();
-        expectNone(checkVersionsNeverFall(seen));
+        const std::vector<VersionObservation> &seen = this->versions->end();
+        expectNone(checkVersionsMonotonic(seen));
         for (const AcceptedEdit &edit : edits) {
             RecordedTime longest{0};
             for (std::size_t router = 0; router < this->fleet.layout.size(); ++router) {
-                const auto time = timeToForce(seen, edit, router);
+                const auto time = propagationTime(seen, edit, router);
                 CHECK(time.has_value());
                 longest = std::max(longest, time.value_or(RecordedTime{0}));
             }
@@ -267,7 +267,7 @@
     CHECK(halved.versions->eventuallyInForce(edits.back()));
     halved.fleet.heal();
     edits.push_back(halved.edit(4));
-    CHECK(Fleet::eventually([&] { return halved.fleet.allKnowEachOther(); }));
+    CHECK(Fleet::eventually([&] { return halved.fleet.hasConverged(); }));
     CHECK(halved.versions->eventuallyInForce(edits.back()));
     CHECK(halved.eachServes(one));
     halved.expectPromisesKept(edits);
@@ -295,15 +295,15 @@
     for (const RouterLayout &router : routersOf(deployment)) {
         routers.emplace_back();
         routers.back().id = router.id;
-        routers.back().place = router.place;
+        routers.back().dataCentre = router.place;
     }
     Half watchers;
     Half others;
     for (std::size_t index = 0; index < routers.size(); ++index) {
         const Heartbeat &router = routers[index];
-        (isWatcher(router.id, router.place, routers) ? watchers : others).push_back(index);
+        (isWatcher(router.id, router.dataCentre, routers) ? watchers : others).push_back(index);
     }
-    REQUIRE(watchers.size() == watchersInPlace);
+    REQUIRE(watchers.size() == platformWatchersPerDataCentre);
     HalvedFleet halved(deployment);
     cutAndHeal(halved, watchers, others);
 }
--- a/tests/fleetfreeze.cpp
+++ b/tests/fleetfreeze.cpp
@@ -18,12 +18,12 @@
 {
 protected:
     FreezeFixture()
-        : fleet(lowtherWith(ownPorts, routers))
+        : fleet(lowtherDeployment(ownPorts, routers))
     {
-        REQUIRE(this->fleet.startAndMeet());
+        REQUIRE(this->fleet.startAndConverge());
     }
 
-    std::future<Sending> sendAside(std::uint32_t order, std::size_t router)
+    std::future<SendAttempt> sendAside(std::uint32_t order, std::size_t router)
     {
         return std::async(std::launch::async,
                           [=, this] { return this->orders.send(order, router); });
@@ -51,7 +51,7 @@
     /// Sends orders to router 0 and freezes it once a claim is written, whose answer the
     /// platform delays; a router that was faster is thawed and tried again with the next order.
     /// \returns the number of the order that had not run when the router was frozen
-    std::uint32_t freezeBeforeDispatch(std::future<Sending> &caller)
+    std::uint32_t freezeBeforeDispatch(std::future<SendAttempt> &caller)
     {
         this->fleet.setFaults({{"slowMilliseconds", 1500}});
         for (std::uint32_t order = 1; order <= triesToFreezeInTime; ++order) {
@@ -91,11 +91,11 @@
     // paused for longer than every timeout. The phone repeats at the other routers, which can't
     // ask the owner. Thawed, the owner still believes that it holds the claim, and may run it;
     // had another run it meanwhile, there would be two receipts.
-    std::future<Sending> first;
+    std::future<SendAttempt> first;
     const std::uint32_t order = this->freezeBeforeDispatch(first);
     REQUIRE(this->eventuallyGone());
     for (std::size_t router = 1; router < routers; ++router) {
-        const Sending repeat = this->orders.send(order, router);
+        const SendAttempt repeat = this->orders.send(order, router);
         CHECK(repeat.refusal == "may-have-run");
         CHECK_FALSE(repeat.refusedNotRun);
     }
@@ -138,7 +138,7 @@
     }
     REQUIRE(this->eventuallyGone());
     this->fleet.thawRouter(0);
-    CHECK(Fleet::eventually([this] { return this->fleet.allKnowEachOther(); }));
+    CHECK(Fleet::eventually([this] { return this->fleet.hasConverged(); }));
     for (std::uint32_t order = 1; order <= allKeys; ++order) {
         CHECK(this->eventuallyAnswered(order, 0));
     }
--- a/tests/fleethistory.cpp
+++ b/tests/fleethistory.cpp
@@ -31,7 +31,7 @@
 {
 protected:
     FleetHistoryFixture()
-        : fleet(lowtherWith(ownPorts, routerCount))
+        : fleet(lowtherDeployment(ownPorts, routerCount))
     {
         REQUIRE(this->fleet.start());
     }
@@ -102,9 +102,9 @@
         thread.join();
     }
     const History history = this->orders.history();
-    const std::vector<Sending> sendings = this->orders.sendings();
+    const std::vector<SendAttempt> sendings = this->orders.sendings();
     std::map<std::string, int> counts;
-    for (const Sending &each : sendings) {
+    for (const SendAttempt &each : sendings) {
         ++counts[each.answered ? "answered" : each.refusedNotRun ? "not run" : "unknown"];
     }
     for (const auto &[name, count] : counts) {
@@ -114,7 +114,7 @@
     expectNone(checkOwnAnswer(history));
     expectNone(checkNoFalseNotRun(history));
     const auto answered = std::count_if(sendings.begin(), sendings.end(),
-                                        [](const Sending &each) { return each.answered; });
+                                        [](const SendAttempt &each) { return each.answered; });
     CHECK(answered > 0);
 }
 
--- a/tests/fleetmembers.cpp
+++ b/tests/fleetmembers.cpp
@@ -18,7 +18,7 @@
 
 Deployment eightRouters()
 {
-    Deployment deployment = lowtherWith(ownPorts, routerCount);
+    Deployment deployment = lowtherDeployment(ownPorts, routerCount);
     deployment.places = {"hall-a", "hall-b"};
     return deployment;
 }
@@ -30,7 +30,7 @@
         : fleet(eightRouters())
     {
         REQUIRE(this->fleet.start());
-        REQUIRE(Fleet::eventually([this] { return this->fleet.allKnowEachOther(); }));
+        REQUIRE(Fleet::eventually([this] { return this->fleet.hasConverged(); }));
     }
 
     [[nodiscard]] nlohmann::json status(std::size_t router)
@@ -71,7 +71,8 @@
                 const auto answer =
                     this->fleet.chat(static_cast<std::size_t>(each) % stoppedCount, this->token,
                                      std::to_string(each), this->body(150));
-                const bool good = answer.status == 200 && answer.end == net::HttpEnd::Whole;
+                const bool good =
+                    answer.status == 200 && answer.outcome == net::HttpOutcome::Complete;
                 whole += good ? 1 : 0;
             });
         }
@@ -122,7 +123,7 @@
         CHECK(this->fleet.awaitReady(router));
         CHECK(this->inForce(router, version));
     }
-    CHECK(Fleet::eventually([this] { return this->fleet.allKnowEachOther(); }));
+    CHECK(Fleet::eventually([this] { return this->fleet.hasConverged(); }));
     for (std::size_t router = 0; router < routerCount; ++router) {
         CHECK(this->fleet.chat(router, this->token, "c", this->body()).status == 200);
     }
@@ -197,7 +198,7 @@
     // knows it refuses, and none may go on sending work there.
     const std::uint64_t version = this->narrowClass("hall-a");
     for (Vm vm : upstreamsOf(this->fleet.deployment)) {
-        if (vm.place == "hall-a") {
+        if (vm.dataCentre == "hall-a") {
             vm.leaving = true;
             this->fleet.standIns.platform.setVm(vm);
         }
--- a/tests/fleetnarrow.cpp
+++ b/tests/fleetnarrow.cpp
@@ -22,7 +22,7 @@
 /// One replica a place, each of which takes one request at a time.
 Deployment narrowDeployment()
 {
-    Deployment deployment = lowtherWith(ownPorts, routers);
+    Deployment deployment = lowtherDeployment(ownPorts, routers);
     deployment.plainReplicas = replicas;
     for (Entry &entry : deployment.entries) {
         if (entry.key.name == deployment.plainService) {
@@ -37,12 +37,12 @@
 class NarrowFixture
 {
 protected:
-    using Answers = std::vector<std::future<net::HttpAnswer>>;
+    using Answers = std::vector<std::future<net::HttpResponse>>;
 
     NarrowFixture()
         : fleet(narrowDeployment())
     {
-        REQUIRE(this->fleet.startAndMeet());
+        REQUIRE(this->fleet.startAndConverge());
         this->fleet.standIns.orders->hold();
     }
 
@@ -87,7 +87,7 @@
     Fleet fleet;
 };
 
-std::string replicaOf(const net::HttpAnswer &answer)
+std::string replicaOf(const net::HttpResponse &answer)
 {
     const auto json = nlohmann::json::parse(answer.body, nullptr, false);
     return json.is_object() ? json.value("replica", "") : "";
@@ -113,7 +113,7 @@
         CHECK(answer.get().status == statusOk);
     }
     for (auto &each : queued) {
-        const net::HttpAnswer answer = each.get();
+        const net::HttpResponse answer = each.get();
         CHECK(answer.status == statusOk);
         CHECK(replicaOf(answer).rfind(allowedPlace, 0) == 0);
     }
--- a/tests/fleetports.cpp
+++ b/tests/fleetports.cpp
@@ -10,8 +10,8 @@
     // asked for, a router of one would now and then find its port taken by the other.
     constexpr std::uint16_t ports = 22'000;
     constexpr int blockSize = 400;
-    const Fleet first(lowtherWith(ports, 1));
-    const Fleet second(lowtherWith(ports + 100, 1));
+    const Fleet first(lowtherDeployment(ports, 1));
+    const Fleet second(lowtherDeployment(ports + 100, 1));
     const int distance = second.deployment.basePort - first.deployment.basePort;
     CHECK(std::abs(distance) >= blockSize);
 }
--- a/tests/fleetretrybudget.cpp
+++ b/tests/fleetretrybudget.cpp
@@ -9,10 +9,10 @@
 class FleetRetriesFixture
 {
 protected:
-    static std::uint32_t spendAll(FleetRetries &retries, std::uint32_t routers, TimePoint now)
+    static std::uint32_t spendAll(FleetRetryBudget &retries, std::uint32_t routers, TimePoint now)
     {
         std::uint32_t spent = 0;
-        while (retries.spend("model", routers, now)) {
+        while (retries.tryWithdraw("model", routers, now)) {
             ++spent;
         }
         return spent;
@@ -32,13 +32,13 @@
     // margin; no router asks another.
     constexpr std::uint32_t routers = 8;
     constexpr std::uint32_t requestsEach = 20;
-    std::vector<FleetRetries> fleet(routers, FleetRetries(this->limit));
+    std::vector<FleetRetryBudget> fleet(routers, FleetRetryBudget(this->limit));
     std::vector<std::uint32_t> bySecond;
     for (int second = 0; second < 60; ++second) {
         std::uint32_t spent = 0;
-        for (FleetRetries &router : fleet) {
+        for (FleetRetryBudget &router : fleet) {
             for (std::uint32_t i = 0; i < requestsEach; ++i) {
-                router.earn("model", routers, this->clock.now());
+                router.deposit("model", routers, this->clock.now());
             }
             spent += spendAll(router, routers, this->clock.now());
         }
@@ -60,15 +60,15 @@
 TEST_CASE_METHOD(FleetRetriesFixture, "fleetRetries_quietService_savesNoMoreThanItsShare",
                  "[routing]")
 {
-    FleetRetries retries(this->limit);
-    retries.earn("model", 1, this->clock.now());
+    FleetRetryBudget retries(this->limit);
+    retries.deposit("model", 1, this->clock.now());
     this->clock.advance(Seconds{3600});
     CHECK(spendAll(retries, 1, this->clock.now()) <= this->limit.margin);
 }
 
 TEST_CASE_METHOD(FleetRetriesFixture, "fleetRetries_otherService_hasItsOwnAccount", "[routing]")
 {
-    FleetRetries retries(this->limit);
+    FleetRetryBudget retries(this->limit);
     static_cast<void>(spendAll(retries, 1, this->clock.now()));
-    CHECK(retries.spend("other", 1, this->clock.now()));
+    CHECK(retries.tryWithdraw("other", 1, this->clock.now()));
 }
--- a/tests/fleettools.h
+++ b/tests/fleettools.h
@@ -7,7 +7,7 @@
 namespace plantainswitch::lab {
 
 /// \returns Lowther's deployment with so many routers, at ports of its own.
-inline Deployment lowtherWith(std::uint16_t basePort, std::uint32_t routers)
+inline Deployment lowtherDeployment(std::uint16_t basePort, std::uint32_t routers)
 {
     Deployment deployment = *deploymentOf("lowther");
     deployment.basePort = basePort;
@@ -26,14 +26,14 @@
 }
 
 /// \returns the error of a refusal, or an empty object.
-inline nlohmann::json errorOf(const net::HttpAnswer &answer)
+inline nlohmann::json errorOf(const net::HttpResponse &answer)
 {
     const auto json = nlohmann::json::parse(answer.body, nullptr, false);
     return json.is_object() && json.contains("error") ? json["error"] : nlohmann::json::object();
 }
 
 /// \returns the kind of a refusal, or nothing.
-inline std::string kindOf(const net::HttpAnswer &answer)
+inline std::string refusalKindOf(const net::HttpResponse &answer)
 {
     return errorOf(answer).value("kind", "");
 }
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -90,10 +90,10 @@
 
     void update(const FollowingRouter &from, TimePoint now)
     {
-        RouterContact &contact =
-            this->contacts.noteSeen({from.place, static_cast<std::uint16_t>(from.number)}, now);
+        RouterContact &contact = this->contacts.recordReceived(
+            {from.place, static_cast<std::uint16_t>(from.number)}, now);
         contact.id = idOf(from.number);
-        contact.place = from.place;
+        contact.dataCentre = from.place;
         contact.configVersion = from.version;
         contact.configConfirmed = from.confirmedAt;
         contact.storeConnected = from.failures == 0;
@@ -109,7 +109,7 @@
         this->call = kind;
         this->calledAt = now;
         this->calls += 1;
-        const bool isConfirmer = this->contacts.confirmRank(now) == 0;
+        const bool isConfirmer = this->contacts.confirmerRank(now) == 0;
         this->held = kind == Call::Watch ? watchWait(this->policy, isConfirmer) : Milliseconds{0};
     }
 
@@ -119,7 +119,7 @@
         const bool isNewer = platform.versionAt(now) > this->version;
         const bool isDue = isNewer || now - this->calledAt >= this->held;
         if (!isLost && isDue) {
-            this->timeout.recordAnswer(turn);
+            this->timeout.recordResponse(turn);
             this->answered(platform.versionAt(now), isNewer, now);
             return;
         }
@@ -139,7 +139,8 @@
         this->call = Call::None;
         this->nextCall = Call::Watch;
         const bool isStandby = this->contacts.watchRank(now).value_or(1) > 0;
-        const Milliseconds pause = isStandby ? this->policy.standbyPause : this->policy.gatherPause;
+        const Milliseconds pause =
+            isStandby ? this->policy.standbyCoalesceDelay : this->policy.coalesceDelay;
         this->nextCallAt = now + (isNewer ? pause : Milliseconds{0});
     }
 
@@ -152,23 +153,23 @@
             return;
         }
         this->call = Call::None;
-        this->nextCallAt = now + retryPause(this->failures, hashOf(idOf(this->number)));
+        this->nextCallAt = now + retryBackoff(this->failures, hashOf(idOf(this->number)));
         this->nextCall = Call::List;
     }
 
     void look(TimePoint now)
     {
         const TimePoint fleet = this->contacts.configConfirmedAt(this->version, now);
-        const FreshnessSituation situation{now - std::max(fleet, this->confirmedAt),
-                                           this->contacts.confirmRank(now), this->timeout.value(),
-                                           this->held};
+        const ConfirmationState situation{now - std::max(fleet, this->confirmedAt),
+                                          this->contacts.confirmerRank(now), this->timeout.value(),
+                                          this->held};
         const bool isBehind = this->newestKnown > this->version;
         this->behindSince = isBehind ? this->behindSince.value_or(now) : now;
         const bool isLate = isBehind && now - *this->behindSince >= behindSpan;
         if (this->call == Call::Watch && isConfirmationDue(this->policy, situation)) {
             this->begin(Call::Watch, now);
         } else if (this->call == Call::Watch
-                   && (isLate || isUnconfirmed(this->policy, situation))) {
+                   && (isLate || isConfirmationOverdue(this->policy, situation))) {
             this->failures = 1;
             this->begin(Call::List, now);
         }
@@ -178,7 +179,7 @@
     std::string place;
     RouterContacts contacts;
     FreshnessPolicy policy;
-    AnswerTimeout timeout;
+    AdaptiveTimeout timeout;
     Call call = Call::None;
     Call nextCall = Call::List;
     TimePoint calledAt;
@@ -298,19 +299,19 @@
 
 TEST_CASE("answerTimeout_platformTurnsSlow_isFollowedAndForgotten", "[members]")
 {
-    AnswerTimeout timeout;
+    AdaptiveTimeout timeout;
     const Milliseconds usual = timeout.value();
-    timeout.recordAnswer(Milliseconds{600});
+    timeout.recordResponse(Milliseconds{600});
     CHECK(timeout.value() > Milliseconds{600});
     for (int answer = 0; answer < 8; ++answer) {
-        timeout.recordAnswer(Milliseconds{4});
+        timeout.recordResponse(Milliseconds{4});
     }
     CHECK(timeout.value() == usual);
 }
 
 TEST_CASE("answerTimeout_noAnswers_growsAndBeginsAnew", "[members]")
 {
-    AnswerTimeout timeout;
+    AdaptiveTimeout timeout;
     const Milliseconds usual = timeout.value();
     timeout.recordTimeout();
     CHECK(timeout.value() == 2 * usual);
@@ -324,8 +325,8 @@
     // Guards against as many calls for each change as a data centre has watchers, and against a
     // standby that sleeps on when the first watcher is lost.
     const FreshnessPolicy policy = freshnessWithin(contactSpan);
-    CHECK(policy.standbyPause > policy.gatherPause);
-    CHECK_FALSE(isWatchDue(policy, policy.gatherPause, true));
-    CHECK(isWatchDue(policy, policy.gatherPause, false));
-    CHECK(isWatchDue(policy, policy.standbyPause, true));
+    CHECK(policy.standbyCoalesceDelay > policy.coalesceDelay);
+    CHECK_FALSE(isWatchDue(policy, policy.coalesceDelay, true));
+    CHECK(isWatchDue(policy, policy.coalesceDelay, false));
+    CHECK(isWatchDue(policy, policy.standbyCoalesceDelay, true));
 }
--- a/tests/fuzz.cpp
+++ b/tests/fuzz.cpp
@@ -18,9 +18,9 @@
 {
     Heartbeat heartbeat;
     heartbeat.id = std::move(id);
-    heartbeat.place = "hall-a";
-    heartbeat.datagrams = datagrams;
-    heartbeat.calls = calls;
+    heartbeat.dataCentre = "hall-a";
+    heartbeat.datagramEndpoint = datagrams;
+    heartbeat.rpcEndpoint = calls;
     heartbeat.incarnation = 5;
     heartbeat.catalogueVersion = 6;
     heartbeat.leaving = true;
@@ -34,15 +34,15 @@
     SwimMessage swim;
     swim.kind = SwimKind::PingRequest;
     swim.probe = 9;
-    swim.from = heartbeatOf("r0", address, address);
+    swim.sender = heartbeatOf("r0", address, address);
     swim.target = address;
     swim.updates = {{heartbeatOf("r1", address, address), MemberState::Suspect}};
     return {{1, swim},
             {5, LeavingNotice{}},
-            {2, SlotAsk{7, shard, 8, 9, {10, 11}}},
+            {2, SlotRequest{7, shard, 8, 9, {10, 11}}},
             {3, SlotReply{7, SlotVerdict::Overflow, 12}},
             {4, SlotRelease{13, {14, 15, 16}}},
-            {5, ClaimAsk{{{1, 2}, 3, 4, 5}, 6}},
+            {5, ClaimRequest{{{1, 2}, 3, 4, 5}, 6}},
             {6, ClaimReply{4, ClaimVerdict::Taken, {{1, 2}, 3, 4, 5}}},
             {7, ClaimRelease{{1, 2}, 4}},
             {8, LimitReport{9, {{10, 11.5, 12, 13.5, 14}}}},
@@ -59,8 +59,8 @@
 
 void checkHeartbeat(const Heartbeat &heartbeat)
 {
-    checkAddress(heartbeat.datagrams);
-    checkAddress(heartbeat.calls);
+    checkAddress(heartbeat.datagramEndpoint);
+    checkAddress(heartbeat.rpcEndpoint);
     REQUIRE_FALSE(heartbeat.id.empty());
 }
 
@@ -84,7 +84,7 @@
     std::size_t accepted = 0;
     constexpr std::size_t rounds = 10 * byteRounds;
     for (std::size_t round = 0; round < rounds; ++round) {
-        const auto message = decode(this->damagedBytes(encode(samples[round % samples.size()])));
+        const auto message = decode(this->mutateBytes(encode(samples[round % samples.size()])));
         if (!message) {
             continue;
         }
@@ -94,7 +94,7 @@
         REQUIRE(again);
         REQUIRE(encode(*again) == once);
         if (const auto *swim = std::get_if<SwimMessage>(&message->body)) {
-            checkHeartbeat(swim->from);
+            checkHeartbeat(swim->sender);
             if (swim->kind == SwimKind::PingRequest) {
                 checkAddress(swim->target);
             }
@@ -113,7 +113,7 @@
     // that tries ends.
     const Endpoint good{"10.0.0.1", 2};
     SwimMessage swim;
-    swim.from = heartbeatOf("r0", good, good);
+    swim.sender = heartbeatOf("r0", good, good);
     wire::Datagram request;
     REQUIRE(request.ParseFromString(encode({1, swim})));
     CHECK(decode(request.SerializeAsString()));
@@ -129,12 +129,12 @@
     const Endpoint good{"10.0.0.1", 2};
     SwimMessage swim;
     constexpr std::size_t longName = 200;
-    swim.from = heartbeatOf(std::string(longName, 'r'), good, good);
-    swim.updates.assign(SwimSettings{}.updatesInMessage,
+    swim.sender = heartbeatOf(std::string(longName, 'r'), good, good);
+    swim.updates.assign(SwimSettings{}.maxUpdatesPerMessage,
                         {heartbeatOf(std::string(longName, 's'), good, good), MemberState::Alive});
     const auto decoded = decode(encode({1, swim}));
     REQUIRE(decoded);
-    CHECK(std::get<SwimMessage>(decoded->body).from.id == swim.from.id);
+    CHECK(std::get<SwimMessage>(decoded->body).sender.id == swim.sender.id);
 }
 
 TEST_CASE("heartbeat_withoutUsableAddress_isRefused", "[fuzz]")
@@ -144,9 +144,9 @@
     // router of the fleet that hears the datagram, at its next beat.
     const Endpoint good{"10.0.0.1", 2};
     SwimMessage swim;
-    swim.from = heartbeatOf("r0", {"ghost", 1}, good);
+    swim.sender = heartbeatOf("r0", {"ghost", 1}, good);
     CHECK_FALSE(decode(encode({1, swim})));
-    swim.from = heartbeatOf("r0", good, good);
+    swim.sender = heartbeatOf("r0", good, good);
     CHECK(decode(encode({1, swim})));
     swim.kind = SwimKind::PingRequest;
     swim.target = {"ghost", 1};
@@ -166,7 +166,7 @@
 
 TEST_CASE("datagram_beyondTheLimit_isRefused", "[fuzz]")
 {
-    SlotRelease release{1, std::vector<std::uint32_t>(longestDatagram, 7)};
+    SlotRelease release{1, std::vector<std::uint32_t>(maxDatagramBytes, 7)};
     CHECK_FALSE(decode(encode({1, release})));
 }
 
@@ -175,7 +175,7 @@
     const std::string stream = ": hello\n\ndata: {\"id\":\"a\"}\r\n\r\nevent: x\ndata:one\ndata: "
                                "two\n\ndata:\n\ndata: [DONE]\n\n";
     for (std::size_t round = 0; round < byteRounds; ++round) {
-        const std::string bytes = this->damagedBytes(stream);
+        const std::string bytes = this->mutateBytes(stream);
         SseParser whole;
         std::vector<std::string> wholeEvents;
         const bool wholeOk = whole.feed(bytes, wholeEvents);
@@ -183,7 +183,7 @@
         std::vector<std::string> splitEvents;
         bool splitOk = true;
         for (std::size_t at = 0; at < bytes.size() && splitOk;) {
-            const std::size_t size = 1 + this->below(7);
+            const std::size_t size = 1 + this->randomBelow(7);
             splitOk = split.feed(std::string_view(bytes).substr(at, size), splitEvents);
             at += size;
         }
@@ -216,7 +216,7 @@
     std::size_t taken = 0;
     while (parser.feed(chunk, events)) {
         taken += chunk.size();
-        REQUIRE(taken <= 2 * longestEvent);
+        REQUIRE(taken <= 2 * maxSseEventBytes);
     }
     CHECK(events.empty());
 }
@@ -226,7 +226,7 @@
     const std::string event =
         R"({"id":"attempt-7","choices":[{"delta":{"content":"a"},"finish_reason":null}]})";
     for (std::size_t round = 0; round < byteRounds; ++round) {
-        const std::string damaged = this->damagedBytes(event);
+        const std::string damaged = this->mutateBytes(event);
         StreamProgress progress;
         REQUIRE_FALSE(acceptEvent(damaged, "attempt-8-of-another", progress));
         REQUIRE(progress.events == 0);
@@ -243,10 +243,10 @@
             {"kind":"service","name":"s","version":9,"body":null}]})");
     for (std::size_t round = 0; round < fieldRounds; ++round) {
         nlohmann::json document = valid;
-        this->damageField(document);
+        this->mutateField(document);
         const std::string text =
-            this->below(2) == 0 ? document.dump() : this->damagedBytes(valid.dump());
-        const auto changes = net::changesOf(text);
+            this->randomBelow(2) == 0 ? document.dump() : this->mutateBytes(valid.dump());
+        const auto changes = net::parseChanges(text);
         for (const net::PlatformObject &object :
              changes ? changes->objects : std::vector<net::PlatformObject>{}) {
             REQUIRE_FALSE(object.kind.empty());
@@ -262,12 +262,12 @@
     const nlohmann::json segment = encodeSegment({11, 12, 13, {entry}});
     for (std::size_t round = 0; round < fieldRounds; ++round) {
         nlohmann::json document = batch;
-        this->damageField(document);
+        this->mutateField(document);
         if (const auto read = decodeBatch(document)) {
             REQUIRE(decodeBatch(encodeBatch(*read)));
         }
         document = segment;
-        this->damageField(document);
+        this->mutateField(document);
         if (const auto read = decodeSegment(document)) {
             REQUIRE(decodeSegment(encodeSegment(*read)));
         }
@@ -280,11 +280,11 @@
 {
     // A proxy before the platform answers in its place with JSON of another shape. Reading the
     // version threw, on every router's watch at once, and ended each of them.
-    CHECK_FALSE(net::changesOf(R"({"version":"9","objects":[]})"));
-    CHECK_FALSE(net::changesOf(R"({"version":-1,"objects":[]})"));
-    CHECK_FALSE(net::changesOf(R"({"version":9,"objects":{}})"));
-    CHECK_FALSE(net::changesOf("<html>"));
-    CHECK(net::changesOf(R"({"version":9,"objects":[]})"));
+    CHECK_FALSE(net::parseChanges(R"({"version":"9","objects":[]})"));
+    CHECK_FALSE(net::parseChanges(R"({"version":-1,"objects":[]})"));
+    CHECK_FALSE(net::parseChanges(R"({"version":9,"objects":{}})"));
+    CHECK_FALSE(net::parseChanges("<html>"));
+    CHECK(net::parseChanges(R"({"version":9,"objects":[]})"));
 }
 
 TEST_CASE_METHOD(FuzzFixture, "platformVm_damaged_isLeftOutOrUsable", "[fuzz]")
@@ -295,8 +295,8 @@
             {"id":"r1","role":"router","place":"a","host":"10.0.0.2","port":8082}])");
     for (std::size_t round = 0; round < fieldRounds; ++round) {
         nlohmann::json document = valid;
-        this->damageField(document);
-        const auto vms = net::vmsOf(document.dump());
+        this->mutateField(document);
+        const auto vms = net::parseVmList(document.dump());
         for (const Vm &vm : vms ? *vms : std::vector<Vm>{}) {
             checkAddress(vm.endpoint);
             REQUIRE_FALSE(vm.id.empty());
--- a/tests/fuzzdocuments.cpp
+++ b/tests/fuzzdocuments.cpp
@@ -58,7 +58,7 @@
 {
     for (std::size_t round = 0; round < byteRounds; ++round) {
         std::vector<Fault> faults;
-        const auto settings = parseSettings(this->damagedBytes(validSettings), faults);
+        const auto settings = parseSettings(this->mutateBytes(validSettings), faults);
         REQUIRE(settings.has_value() == faults.empty());
         checkFaults(faults);
     }
@@ -68,7 +68,7 @@
 {
     for (std::size_t round = 0; round < fieldRounds; ++round) {
         nlohmann::json document = nlohmann::json::parse(validSettings);
-        const std::string path = this->damageField(document);
+        const std::string path = this->mutateField(document);
         std::vector<Fault> faults;
         const auto settings = parseSettings(document.dump(), faults);
         REQUIRE(settings.has_value() == faults.empty());
@@ -85,7 +85,7 @@
     for (std::size_t round = 0; round < fieldRounds; ++round) {
         const auto &[kind, text] = validEntries[round % validEntries.size()];
         nlohmann::json document = nlohmann::json::parse(text);
-        const std::string path = this->damageField(document);
+        const std::string path = this->mutateField(document);
         std::vector<Fault> faults;
         const auto body = parseEntry(kind, document, faults);
         REQUIRE(body.has_value() == faults.empty());
@@ -104,7 +104,7 @@
     for (std::size_t round = 0; round < byteRounds; ++round) {
         const auto &[kind, text] = validEntries[round % validEntries.size()];
         std::vector<Fault> faults;
-        const auto json = parseJson(this->damagedBytes(text), faults);
+        const auto json = parseJson(this->mutateBytes(text), faults);
         const auto body = json ? parseEntry(kind, *json, faults) : std::nullopt;
         if (!body) {
             REQUIRE_FALSE(faults.empty());
@@ -127,18 +127,18 @@
     constexpr std::size_t rounds = 500;
     for (std::size_t round = 0; round < rounds; ++round) {
         std::vector<Entry> batch;
-        for (std::size_t each = this->below(5); each > 0; --each) {
-            const std::string name = "class-" + std::to_string(this->below(8));
-            const std::uint64_t version = 1 + this->below(1000);
+        for (std::size_t each = this->randomBelow(5); each > 0; --each) {
+            const std::string name = "class-" + std::to_string(this->randomBelow(8));
+            const std::uint64_t version = 1 + this->randomBelow(1000);
             Entry entry{{EntryKind::DataClass, name}, version, std::nullopt};
-            if (this->below(3) > 0) {
+            if (this->randomBelow(3) > 0) {
                 entry.body = DataClass{std::to_string(version), {"a"}, 0};
             }
             highest[name] = std::max(highest[name], version);
             batch.push_back(std::move(entry));
         }
         table.merge(batch);
-        for (const Entry &entry : table.entriesAbove(0)) {
+        for (const Entry &entry : table.entriesSince(0)) {
             REQUIRE(entry.version == highest[entry.key.name]);
         }
         const std::uint64_t version = table.view() ? table.view()->version : 0;
@@ -157,9 +157,9 @@
     CHECK_FALSE(parseJson(text, faults));
     CHECK_FALSE(faults.empty());
     CHECK_FALSE(parseSettings(text, faults));
-    CHECK_FALSE(net::changesOf(R"({"version":1,"objects":[{"kind":"workspace","name":"w",)"
-                               R"("version":1,"body":)"
-                               + text + "}]}"));
+    CHECK_FALSE(net::parseChanges(R"({"version":1,"objects":[{"kind":"workspace","name":"w",)"
+                                  R"("version":1,"body":)"
+                                  + text + "}]}"));
 }
 
 TEST_CASE("json_sameFieldTwice_isAFault", "[fuzz]")
@@ -180,25 +180,26 @@
         R"({"model":"sharpen-llm","stream":true,"messages":[{"role":"user","content":"hob"}]})";
     for (std::size_t round = 0; round < byteRounds; ++round) {
         net::HttpRequest http;
-        http.method = this->below(4) == 0 ? "GET" : "POST";
-        http.path = this->below(3) == 0 ? this->damagedBytes("/services/job-desk/tickets")
-                                        : "/v1/chat/completions";
-        http.headers = {{"authorization", this->damagedBytes("Bearer token")},
-                        {"x-chat-id", this->damagedBytes(std::string(199, 'c'))},
-                        {"x-non-idempotent", this->below(2) == 0 ? "true" : "false"},
-                        {"idempotency-key", this->below(3) == 0 ? "" : this->damagedBytes("key")}};
-        http.body = this->damagedBytes(body);
+        http.method = this->randomBelow(4) == 0 ? "GET" : "POST";
+        http.path = this->randomBelow(3) == 0 ? this->mutateBytes("/services/job-desk/tickets")
+                                              : "/v1/chat/completions";
+        http.headers = {
+            {"authorization", this->mutateBytes("Bearer token")},
+            {"x-chat-id", this->mutateBytes(std::string(199, 'c'))},
+            {"x-non-idempotent", this->randomBelow(2) == 0 ? "true" : "false"},
+            {"idempotency-key", this->randomBelow(3) == 0 ? "" : this->mutateBytes("key")}};
+        http.body = this->mutateBytes(body);
         const std::string sent = http.body;
         Reason reason;
-        const auto request = parseRequest(std::move(http), largestBody, reason);
+        const auto request = parseCallerRequest(std::move(http), largestBody, reason);
         if (!request) {
-            REQUIRE(errorRow(reason.kind).ran == Ran::No);
+            REQUIRE(errorRow(reason.kind).ran == ExecutionStatus::No);
             REQUIRE(reason.kind != ErrorKind::Internal);
             REQUIRE(nlohmann::json::accept(refusalBody(reason, "1")));
             continue;
         }
         REQUIRE(request->body == sent);
-        REQUIRE(request->chat.size() <= longestName);
+        REQUIRE(request->chatId.size() <= maxChatIdOrKeyBytes);
         REQUIRE((!request->nonIdempotent || !request->idempotencyKey.empty()));
         REQUIRE_FALSE(request->service.empty());
     }
@@ -211,7 +212,7 @@
     http.path = "/v1/chat/completions";
     http.body.assign(101, ' ');
     Reason reason;
-    const auto request = parseRequest(std::move(http), 100, reason);
+    const auto request = parseCallerRequest(std::move(http), 100, reason);
     CHECK_FALSE(request);
     CHECK(reason.kind == ErrorKind::TooLarge);
 }
--- a/tests/fuzzing.h
+++ b/tests/fuzzing.h
@@ -16,25 +16,27 @@
 class FuzzFixture
 {
 protected:
-    std::size_t below(std::size_t limit) { return this->random() % limit; }
+    std::size_t randomBelow(std::size_t limit) { return this->random() % limit; }
 
     /// \returns \a sample after a few random changes of bytes.
-    std::string damagedBytes(std::string sample)
+    std::string mutateBytes(std::string sample)
     {
-        for (std::size_t changes = 1 + this->below(4); changes > 0 && !sample.empty(); --changes) {
-            const std::size_t at = this->below(sample.size());
-            switch (this->below(4)) {
+        for (std::size_t changes = 1 + this->randomBelow(4); changes > 0 && !sample.empty();
+             --changes) {
+            const std::size_t at = this->randomBelow(sample.size());
+            switch (this->randomBelow(4)) {
             case 0:
                 sample[at] = static_cast<char>(this->random());
                 break;
             case 1:
-                sample.erase(at, 1 + this->below(8));
+                sample.erase(at, 1 + this->randomBelow(8));
                 break;
             case 2:
                 sample.insert(at, 1, static_cast<char>(this->random()));
                 break;
             default:
-                sample.insert(at, sample.substr(this->below(sample.size()), this->below(32)));
+                sample.insert(
+                    at, sample.substr(this->randomBelow(sample.size()), this->randomBelow(32)));
                 break;
             }
         }
@@ -42,7 +44,7 @@
     }
 
     /// \returns a value that a careless or hostile writer might put in place of another.
-    nlohmann::json oddValue()
+    nlohmann::json replacementValue()
     {
         static const std::vector<nlohmann::json> odd{nullptr,
                                                      true,
@@ -61,16 +63,16 @@
                                                      {nullptr},
                                                      {"a", ""},
                                                      {{1, 2}, {3}}};
-        return odd[this->below(odd.size())];
+        return odd[this->randomBelow(odd.size())];
     }
 
     /// Replaces one value of \a document. \returns its path.
-    std::string damageField(nlohmann::json &document)
+    std::string mutateField(nlohmann::json &document)
     {
         const nlohmann::json flat = document.flatten();
         auto chosen = flat.begin();
-        std::advance(chosen, static_cast<std::ptrdiff_t>(this->below(flat.size())));
-        document[nlohmann::json::json_pointer(chosen.key())] = this->oddValue();
+        std::advance(chosen, static_cast<std::ptrdiff_t>(this->randomBelow(flat.size())));
+        document[nlohmann::json::json_pointer(chosen.key())] = this->replacementValue();
         return chosen.key();
     }
 
--- a/tests/gatewaycallers.cpp
+++ b/tests/gatewaycallers.cpp
@@ -25,7 +25,7 @@
                     const std::lock_guard lock(this->mutex);
                     this->seen.push_back(*request);
                 }
-                connection.send(answerTo(*request, "echo " + request->body));
+                connection.send(makeResponse(*request, "echo " + request->body));
             }
         });
     }
@@ -37,13 +37,13 @@
     }
 
     std::mutex mutex;
-    std::vector<SeenRequest> seen;
+    std::vector<ReceivedRequest> seen;
 };
 
 std::string valueOf(const std::vector<HeaderField> &fields, std::string_view name)
 {
     for (const HeaderField &field : fields) {
-        if (sameName(field.name, name)) {
+        if (isSameFieldName(field.name, name)) {
             return field.value;
         }
     }
@@ -57,10 +57,10 @@
 {
     this->addEcho();
     this->start();
-    const SeenAnswer answer = this->call(requestOf("/once/x?a=1", "a1", "hello"));
+    const ReceivedResponse answer = this->call(makeRequest("/once/x?a=1", "a1", "hello"));
     CHECK(answer.status == 200);
     CHECK(answer.body == "echo hello");
-    CHECK(answer.whole);
+    CHECK(answer.isComplete);
     CHECK(valueOf(answer.fields, "X-Server-Stamp") == "stamp");
     REQUIRE(this->seenCount() == 1);
     const MessageHead &head = this->seen.front().head;
@@ -78,9 +78,9 @@
     // what the router knows, never what the caller claims.
     this->addEcho();
     this->start();
-    this->call(requestOf("/once/x", "a1", "",
-                         "X-Tenant: beta\r\nX-Hold: h\r\nKv-From: 1:2/h\r\nKv-Fetch: 1:2\r\n"
-                         "X-Expect-Instance: other\r\nX-Own: kept\r\n"));
+    this->call(makeRequest("/once/x", "a1", "",
+                           "X-Tenant: beta\r\nX-Hold: h\r\nKv-From: 1:2/h\r\nKv-Fetch: 1:2\r\n"
+                           "X-Expect-Instance: other\r\nX-Own: kept\r\n"));
     REQUIRE(this->seenCount() == 1);
     const MessageHead &head = this->seen.front().head;
     CHECK(head.count("X-Tenant") == 1);
@@ -96,10 +96,10 @@
 {
     this->addEcho();
     this->start();
-    std::string stranger = requestOf("/once/x", "a1");
+    std::string stranger = makeRequest("/once/x", "a1");
     stranger.replace(stranger.find("key-a"), 5, "key-z");
     CHECK(this->call(stranger).status == 401);
-    CHECK(this->call(requestOf("/nothing/x", "a2")).status == 404);
+    CHECK(this->call(makeRequest("/nothing/x", "a2")).status == 404);
     CHECK(this->seenCount() == 0);
 }
 
@@ -107,7 +107,7 @@
                  "[gateway]")
 {
     this->start();
-    const SeenAnswer answer = this->call(requestOf("/once/x", "a1"));
+    const ReceivedResponse answer = this->call(makeRequest("/once/x", "a1"));
     CHECK(answer.status == 503);
     CHECK_FALSE(valueOf(answer.fields, "Retry-After").empty());
     CHECK(valueOf(answer.fields, "X-Server-Stamp").empty());
@@ -138,7 +138,7 @@
         INFO(rest);
         std::string bytes = head;
         bytes.append(rest).append(hidden);
-        const SeenAnswer answer = this->call(bytes);
+        const ReceivedResponse answer = this->call(bytes);
         CHECK((answer.status == 0 || answer.status == 400));
     }
     CHECK(this->seenCount() == 0);
@@ -152,7 +152,7 @@
     asio::ip::tcp::socket socket = this->connectCaller();
     std::string all;
     for (int i = 0; i < 5; ++i) {
-        all.append(requestOf("/safe/x", "a" + std::to_string(i), std::to_string(i)));
+        all.append(makeRequest("/safe/x", "a" + std::to_string(i), std::to_string(i)));
     }
     asio::write(socket, asio::buffer(all));
     // One answer at a time: the fixture's parser keeps no bytes between calls.
@@ -175,7 +175,7 @@
 {
     this->addEcho();
     this->start();
-    const SeenAnswer answer =
+    const ReceivedResponse answer =
         this->call("POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n"
                    "Authorization: Bearer key-a\r\nTransfer-Encoding: chunked\r\n\r\n"
                    "3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n");
@@ -209,7 +209,7 @@
     this->start();
     {
         asio::ip::tcp::socket socket = this->connectCaller();
-        asio::write(socket, asio::buffer(requestOf("/once/x", "a1")));
+        asio::write(socket, asio::buffer(makeRequest("/once/x", "a1")));
         CHECK(eventually([&begun] { return begun.load(); }));
     }
     CHECK(eventually([&ended] { return ended.load(); }));
@@ -226,14 +226,14 @@
         if (!request) {
             return;
         }
-        connection.send(streamHead(*request) + chunkOf(eventOf(1)));
+        connection.send(makeStreamHead(*request) + makeChunk(makeEvent(1)));
         eventually([&goOn] { return goOn.load(); });
-        connection.send(chunkOf(eventOf(2)) + "0\r\n\r\n");
+        connection.send(makeChunk(makeEvent(2)) + "0\r\n\r\n");
         connection.waitForEnd();
     });
     this->start();
     asio::ip::tcp::socket socket = this->connectCaller();
-    asio::write(socket, asio::buffer(requestOf("/stream/x", "a1")));
+    asio::write(socket, asio::buffer(makeRequest("/stream/x", "a1")));
     std::array<char, 1> first{};
     asio::read(socket, asio::buffer(first));
     this->gateway->post([this] { this->gateway->stop(); });
@@ -247,7 +247,7 @@
         REQUIRE_FALSE(error);
         bytes.append(buffer.data(), size);
     }
-    CHECK(bytes.find(eventOf(2)) != std::string::npos);
+    CHECK(bytes.find(makeEvent(2)) != std::string::npos);
     asio::error_code error;
     socket.read_some(asio::buffer(buffer), error);
     CHECK(error == asio::error::eof);
@@ -259,8 +259,8 @@
     // A router that was stopped gets one more signal while it takes itself apart: its handlers are
     // gone by then, and the system's disposition would make a clean stop look like a crash.
     this->start();
-    CHECK(this->endBlocks(SIGHUP));
-    CHECK(this->endBlocks(SIGTERM));
+    CHECK(this->isSignalBlockedAfterStop(SIGHUP));
+    CHECK(this->isSignalBlockedAfterStop(SIGTERM));
 }
 
 TEST_CASE_METHOD(GatewayCallersFixture, "gateway_metricsPage_tellsWhatItBelievesAndHowOldThatIs",
@@ -269,12 +269,12 @@
     this->addUpstream("engine-1", "model",
                       [](ServerConnection &connection) { connection.waitForEnd(); });
     this->start();
-    const SeenAnswer page = this->page("/metrics");
+    const ReceivedResponse page = this->getInternalPage("/metrics");
     CHECK(page.status == 200);
     CHECK(page.body.find("plantainswitch_config_version 7\n") != std::string::npos);
     CHECK(page.body.find("plantainswitch_config_age_seconds ") != std::string::npos);
     CHECK(eventually([this] {
-        return this->page("/metrics").body.find("plantainswitch_store_connected 1\n")
+        return this->getInternalPage("/metrics").body.find("plantainswitch_store_connected 1\n")
                != std::string::npos;
     }));
     CHECK(page.body.find(R"(upstreams{service="model",condition="usable"} 1)")
--- a/tests/gatewaystore.cpp
+++ b/tests/gatewaystore.cpp
@@ -13,8 +13,8 @@
     // knows of later changes.
     this->start();
     // The stale list of the start, and that from which it watches.
-    REQUIRE(this->eventually([this] { return this->replicaLists() >= 2; }));
-    const int before = this->replicaLists();
-    this->hearSilentRouter("router-2", "hall-b", 9);
-    CHECK(this->eventually([this, before] { return this->replicaLists() > before; }));
+    REQUIRE(this->eventually([this] { return this->replicaListCount() >= 2; }));
+    const int before = this->replicaListCount();
+    this->addSilentRouter("router-2", "hall-b", 9);
+    CHECK(this->eventually([this, before] { return this->replicaListCount() > before; }));
 }
--- a/tests/gatewayupstreams.cpp
+++ b/tests/gatewayupstreams.cpp
@@ -18,7 +18,7 @@
     /// Adds upstreams of \a service whose \a script counts the requests that reach them.
     void
     addCounting(const std::string &service, int count,
-                const std::function<void(ServerConnection &, const SeenRequest &, int)> &script)
+                const std::function<void(ServerConnection &, const ReceivedRequest &, int)> &script)
     {
         for (int i = 0; i < count; ++i) {
             this->addUpstream(service + "-" + std::to_string(i), service,
@@ -40,11 +40,11 @@
 {
     // An upstream has taken an order and its connection is reset. Nobody can tell whether the
     // order ran; sent again it may run twice, and "not run" would be a lie.
-    this->addCounting("plain", 3, [](ServerConnection &connection, const SeenRequest &, int) {
+    this->addCounting("plain", 3, [](ServerConnection &connection, const ReceivedRequest &, int) {
         connection.reset();
     });
     this->start();
-    CHECK(this->call(requestOf("/once/x", "a1")).status == 502);
+    CHECK(this->call(makeRequest("/once/x", "a1")).status == 502);
     CHECK(this->requests == 1);
 }
 
@@ -52,15 +52,15 @@
                  "[gateway]")
 {
     this->addCounting("plain", 3,
-                      [](ServerConnection &connection, const SeenRequest &request, int number) {
+                      [](ServerConnection &connection, const ReceivedRequest &request, int number) {
                           if (number == 1) {
                               connection.reset();
                           } else {
-                              connection.send(answerTo(request, "second"));
+                              connection.send(makeResponse(request, "second"));
                           }
                       });
     this->start();
-    const SeenAnswer answer = this->call(requestOf("/safe/x", "a1"));
+    const ReceivedResponse answer = this->call(makeRequest("/safe/x", "a1"));
     CHECK(answer.status == 200);
     CHECK(answer.body == "second");
     CHECK(this->requests == 2);
@@ -73,15 +73,15 @@
     // router looks for another one and finds none, or one that breaks off. The answer that it has
     // is the caller's; a 502 in its place would hide what the service said.
     this->addCounting("plain", 2,
-                      [](ServerConnection &connection, const SeenRequest &request, int number) {
+                      [](ServerConnection &connection, const ReceivedRequest &request, int number) {
                           if (number == 1) {
-                              connection.send(answerTo(request, "out of paper", 500));
+                              connection.send(makeResponse(request, "out of paper", 500));
                           } else {
                               connection.reset();
                           }
                       });
     this->start();
-    const SeenAnswer answer = this->call(requestOf("/safe/x", "a1"));
+    const ReceivedResponse answer = this->call(makeRequest("/safe/x", "a1"));
     CHECK(answer.status == 500);
     CHECK(answer.body == "out of paper");
     CHECK(this->requests == 2);
@@ -91,11 +91,11 @@
                  "[gateway]")
 {
     this->addCounting("plain", 1,
-                      [](ServerConnection &connection, const SeenRequest &request, int) {
-                          connection.send(answerTo(request, "out of paper", 500));
+                      [](ServerConnection &connection, const ReceivedRequest &request, int) {
+                          connection.send(makeResponse(request, "out of paper", 500));
                       });
     this->start();
-    const SeenAnswer answer = this->call(requestOf("/safe/x", "a1"));
+    const ReceivedResponse answer = this->call(makeRequest("/safe/x", "a1"));
     CHECK(answer.status == 500);
     CHECK(answer.body == "out of paper");
 }
@@ -104,31 +104,31 @@
                  "[gateway]")
 {
     this->addCounting("plain", 2,
-                      [](ServerConnection &connection, const SeenRequest &request, int number) {
+                      [](ServerConnection &connection, const ReceivedRequest &request, int number) {
                           connection.send(number == 1 ? "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\n"
                                                         "Content-Length: 0\r\n\r\n"
-                                                      : answerTo(request, "taken"));
+                                                      : makeResponse(request, "taken"));
                       });
     this->start();
-    CHECK(this->call(requestOf("/once/x", "a1")).body == "taken");
+    CHECK(this->call(makeRequest("/once/x", "a1")).body == "taken");
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_allTurnAway_refusalSaysNotRun", "[gateway]")
 {
-    this->addCounting("plain", 2, [](ServerConnection &connection, const SeenRequest &, int) {
+    this->addCounting("plain", 2, [](ServerConnection &connection, const ReceivedRequest &, int) {
         connection.send("HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
     });
     this->start();
-    CHECK(this->call(requestOf("/once/x", "a1")).status == 503);
+    CHECK(this->call(makeRequest("/once/x", "a1")).status == 503);
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_says503WithoutNotRun_isNoRefusal", "[gateway]")
 {
-    this->addCounting("plain", 1, [](ServerConnection &connection, const SeenRequest &, int) {
+    this->addCounting("plain", 1, [](ServerConnection &connection, const ReceivedRequest &, int) {
         connection.send("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
     });
     this->start();
-    CHECK(this->call(requestOf("/once/x", "a1")).status == 502);
+    CHECK(this->call(makeRequest("/once/x", "a1")).status == 502);
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_unsignedOrForeignSuccess_neverReachesCaller",
@@ -137,7 +137,7 @@
     // Something else listens at the upstream's address, or it answers another request. Its bytes
     // must not pass for the answer.
     this->addCounting(
-        "plain", 1, [](ServerConnection &connection, const SeenRequest &, int number) {
+        "plain", 1, [](ServerConnection &connection, const ReceivedRequest &, int number) {
             if (number == 1) {
                 connection.send(
                     "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nContent-Length: 3\r\n\r\nbad");
@@ -148,8 +148,8 @@
             connection.close();
         });
     this->start();
-    CHECK(this->call(requestOf("/once/x", "a1")).status == 502);
-    CHECK(this->call(requestOf("/once/x", "a2")).status == 502);
+    CHECK(this->call(makeRequest("/once/x", "a1")).status == 502);
+    CHECK(this->call(makeRequest("/once/x", "a2")).status == 502);
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_lateAnswerOfAnotherAttempt_isSkipped",
@@ -158,13 +158,13 @@
     // A late second answer to an earlier request arrives where the next one is due. It belongs to
     // nobody; the right answer still follows on the same connection.
     this->addCounting("plain", 1,
-                      [](ServerConnection &connection, const SeenRequest &request, int) {
+                      [](ServerConnection &connection, const ReceivedRequest &request, int) {
                           connection.send("HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\n"
                                           "X-Server-Stamp: s\r\nContent-Length: 3\r\n\r\nold"
-                                          + answerTo(request, "new"));
+                                          + makeResponse(request, "new"));
                       });
     this->start();
-    CHECK(this->call(requestOf("/once/x", "a1")).body == "new");
+    CHECK(this->call(makeRequest("/once/x", "a1")).body == "new");
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_bytesBehindWholeAnswer_endItsConnection",
@@ -174,21 +174,21 @@
         this->addUpstream("plain-x", "plain", [this](ServerConnection &connection) {
             while (const auto request = connection.read()) {
                 ++this->requests;
-                connection.send(answerTo(*request, "mine") + answerTo(*request, "surplus"));
+                connection.send(makeResponse(*request, "mine") + makeResponse(*request, "surplus"));
             }
         });
     this->start();
     for (int i = 0; i < 3; ++i) {
-        CHECK(this->call(requestOf("/safe/x", "a" + std::to_string(i))).body == "mine");
+        CHECK(this->call(makeRequest("/safe/x", "a" + std::to_string(i))).body == "mine");
     }
-    CHECK(server.connections() == 3);
+    CHECK(server.connectionCount() == 3);
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_answerWithoutLengthEndedByReset_isNotWhole",
                  "[gateway]")
 {
     this->addCounting(
-        "plain", 1, [](ServerConnection &connection, const SeenRequest &, int number) {
+        "plain", 1, [](ServerConnection &connection, const ReceivedRequest &, int number) {
             connection.send("HTTP/1.1 200 OK\r\nX-Attempt-Id: a" + std::to_string(number)
                             + "\r\nX-Server-Stamp: s\r\n\r\nhalf");
             if (number == 1) {
@@ -198,22 +198,22 @@
             }
         });
     this->start();
-    CHECK(this->call(requestOf("/once/x", "a1")).status == 502);
-    const SeenAnswer ended = this->call(requestOf("/once/x", "a2"));
+    CHECK(this->call(makeRequest("/once/x", "a1")).status == 502);
+    const ReceivedResponse ended = this->call(makeRequest("/once/x", "a2"));
     CHECK(ended.status == 200);
     CHECK(ended.body == "half");
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_brokenChunk_isNotAnEnd", "[gateway]")
 {
-    this->addCounting("plain", 1, [](ServerConnection &connection, const SeenRequest &, int) {
+    this->addCounting("plain", 1, [](ServerConnection &connection, const ReceivedRequest &, int) {
         connection.send("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n"
                         "X-Server-Stamp: s\r\n"
                         "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n");
         connection.close();
     });
     this->start();
-    CHECK(this->call(requestOf("/once/x", "a1")).status == 502);
+    CHECK(this->call(makeRequest("/once/x", "a1")).status == 502);
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "stream_breaksWithinEvent_goesOnElsewhereWithoutGap",
@@ -224,36 +224,37 @@
     // missing, doubled or torn.
     std::atomic<bool> asked = false;
     this->addCounting(
-        "model", 2, [&asked](ServerConnection &connection, const SeenRequest &request, int number) {
+        "model", 2,
+        [&asked](ServerConnection &connection, const ReceivedRequest &request, int number) {
             if (number == 1) {
-                connection.send(streamHead(request) + chunkOf(eventOf(1) + eventOf(2))
-                                + chunkOf("id: 3\ndata: pie"));
+                connection.send(makeStreamHead(request) + makeChunk(makeEvent(1) + makeEvent(2))
+                                + makeChunk("id: 3\ndata: pie"));
                 connection.reset();
                 return;
             }
             const std::string *const resume = request.head.find("Last-Event-Id");
             asked = resume != nullptr && *resume == "2";
-            connection.send(streamHead(request) + chunkOf(eventOf(3)) + chunkOf(eventOf(4))
-                            + "0\r\n\r\n");
+            connection.send(makeStreamHead(request) + makeChunk(makeEvent(3))
+                            + makeChunk(makeEvent(4)) + "0\r\n\r\n");
         });
     this->start();
-    const SeenAnswer answer = this->call(requestOf("/stream/x", "a1"));
+    const ReceivedResponse answer = this->call(makeRequest("/stream/x", "a1"));
     CHECK(asked);
-    CHECK(answer.whole);
-    CHECK(answer.body == eventOf(1) + eventOf(2) + eventOf(3) + eventOf(4));
+    CHECK(answer.isComplete);
+    CHECK(answer.body == makeEvent(1) + makeEvent(2) + makeEvent(3) + makeEvent(4));
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "stream_everyEngineDies_neverLooksWhole", "[gateway]")
 {
     this->addCounting("model", 2,
-                      [](ServerConnection &connection, const SeenRequest &request, int number) {
-                          connection.send(streamHead(request) + chunkOf(eventOf(number)));
+                      [](ServerConnection &connection, const ReceivedRequest &request, int number) {
+                          connection.send(makeStreamHead(request) + makeChunk(makeEvent(number)));
                           connection.reset();
                       });
     this->start();
-    const SeenAnswer answer = this->call(requestOf("/stream/x", "a1"));
+    const ReceivedResponse answer = this->call(makeRequest("/stream/x", "a1"));
     CHECK(answer.status == 200);
-    CHECK_FALSE(answer.whole);
+    CHECK_FALSE(answer.isComplete);
 }
 
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_cannotBeReached_anotherServesAtOnce",
@@ -262,13 +263,13 @@
     // An upstream's process is gone and its address refuses connections. Nothing was sent, so
     // that even a request that may run only once goes to another one.
     this->addCounting("plain", 1,
-                      [](ServerConnection &connection, const SeenRequest &request, int) {
-                          connection.send(answerTo(request, "served"));
+                      [](ServerConnection &connection, const ReceivedRequest &request, int) {
+                          connection.send(makeResponse(request, "served"));
                       });
     this->addDeadUpstream("plain-dead", "plain");
     this->start();
     for (int i = 0; i < 10; ++i) {
-        CHECK(this->call(requestOf("/once/x", "a" + std::to_string(i))).body == "served");
+        CHECK(this->call(makeRequest("/once/x", "a" + std::to_string(i))).body == "served");
     }
 }
 
@@ -278,25 +279,25 @@
     // An engine breaks a stream off just before its silence would count against it. The router
     // asks the next engine's keeper, which has died unnoticed. The look at the first attempt comes
     // due while nobody has the request: it once ended the whole process.
-    this->addCounting("model", 4,
-                      [](ServerConnection &connection, const SeenRequest &request, int number) {
-                          if (number % 2 == 1) {
-                              std::this_thread::sleep_for(std::chrono::milliseconds(50));
-                              connection.reset();
-                              return;
-                          }
-                          connection.send(streamHead(request) + chunkOf(eventOf(1)) + "0\r\n\r\n");
-                      });
+    this->addCounting(
+        "model", 4, [](ServerConnection &connection, const ReceivedRequest &request, int number) {
+            if (number % 2 == 1) {
+                std::this_thread::sleep_for(std::chrono::milliseconds(50));
+                connection.reset();
+                return;
+            }
+            connection.send(makeStreamHead(request) + makeChunk(makeEvent(1)) + "0\r\n\r\n");
+        });
     this->start();
-    this->hearSilentRouter("router-2", "hall-a");
-    this->hearSilentRouter("router-3", "hall-a");
-    this->hearSilentRouter("router-4", "hall-a");
+    this->addSilentRouter("router-2", "hall-a");
+    this->addSilentRouter("router-3", "hall-a");
+    this->addSilentRouter("router-4", "hall-a");
     // As many as the retry budget of one of four routers allows.
     for (int i = 0; i < 3; ++i) {
-        const SeenAnswer answer =
-            this->call(requestOf("/hasty/x", "a" + std::to_string(i), {},
-                                 "X-Model: m\r\nX-Token-Count: 30,5\r\nX-Prompt-Prefix: a"
-                                     + std::to_string(i) + ":10,b:20\r\n"));
+        const ReceivedResponse answer =
+            this->call(makeRequest("/hasty/x", "a" + std::to_string(i), {},
+                                   "X-Model: m\r\nX-Token-Count: 30,5\r\nX-Prompt-Prefix: a"
+                                       + std::to_string(i) + ":10,b:20\r\n"));
         CHECK(answer.status == 200);
     }
 }
@@ -311,27 +312,28 @@
     constexpr int count = 6;
     std::vector<ScriptedServer *> servers(count, nullptr);
     for (int i = 0; i < count; ++i) {
-        servers.at(i) = &this->addUpstream("plain-" + std::to_string(i), "plain",
-                                           [this, &servers, i](ServerConnection &connection) {
-                                               while (const auto request = connection.read()) {
-                                                   if (request->body != "poison") {
-                                                       connection.send(answerTo(*request, "well"));
-                                                       continue;
-                                                   }
-                                                   ++this->requests;
-                                                   servers.at(i)->shut();
-                                                   connection.reset();
-                                                   return;
-                                               }
-                                           });
+        servers.at(i) =
+            &this->addUpstream("plain-" + std::to_string(i), "plain",
+                               [this, &servers, i](ServerConnection &connection) {
+                                   while (const auto request = connection.read()) {
+                                       if (request->body != "poison") {
+                                           connection.send(makeResponse(*request, "well"));
+                                           continue;
+                                       }
+                                       ++this->requests;
+                                       servers.at(i)->stopAccepting();
+                                       connection.reset();
+                                       return;
+                                   }
+                               });
     }
     this->start();
     for (int number = 1; number <= count; ++number) {
-        const SeenAnswer answer =
-            this->call(requestOf("/safe/x", "p" + std::to_string(number), "poison"));
+        const ReceivedResponse answer =
+            this->call(makeRequest("/safe/x", "p" + std::to_string(number), "poison"));
         CHECK((answer.status == 502 || answer.status == 503));
     }
     // The third call may still be on its way to a fourth upstream when the third one is looked at.
     CHECK(this->requests <= 4);
-    CHECK(this->call(requestOf("/safe/x", "b1", "body")).status == 200);
+    CHECK(this->call(makeRequest("/safe/x", "b1", "body")).status == 200);
 }
--- a/tests/httpclient.cpp
+++ b/tests/httpclient.cpp
@@ -19,7 +19,7 @@
 {
     auto owner = std::make_shared<Owner>();
     HttpEvents events;
-    events.onEnd = [owner](HttpEnd, const std::string &) {};
+    events.onEnd = [owner](HttpOutcome, const std::string &) {};
     HttpCall call;
     call.url = "http://127.0.0.1:1/";
     owner->exchange = client.start(std::move(call), std::move(events));
--- a/tests/inforce.cpp
+++ b/tests/inforce.cpp
@@ -78,10 +78,10 @@
     const Entry unread{{EntryKind::DataClass, "regulated"}, 2, std::nullopt, "{\"new\":1}"};
     const Entry other{{EntryKind::DataClass, "other"}, 3, DataClass{"o", {"hall-b"}, 0}};
     CHECK(this->table.merge({unread, other}) == 2);
-    CHECK(this->table.view()->dataClasses.at("regulated").places.front() == "hall-a");
+    CHECK(this->table.view()->dataClasses.at("regulated").dataCentres.front() == "hall-a");
     CHECK(this->table.view()->dataClasses.contains("other"));
     CHECK(this->table.unreadable().size() == 1);
-    CHECK(this->table.entriesAbove(1).front().version >= 2);
+    CHECK(this->table.entriesSince(1).front().version >= 2);
     this->table.merge({classAt(4, "hall-c")});
     CHECK(this->table.unreadable().empty());
 }
@@ -91,15 +91,15 @@
     // A router starts from its peers while the platform is down. Nobody fresh ever confirmed what
     // it got, so a class with a limit must not be served by it.
     this->table.merge({classAt(1, "hall-a")});
-    this->table.complete(1, std::nullopt);
+    this->table.markComplete(1, std::nullopt);
     CHECK(this->table.staleness(this->clock.now()) == Duration::max());
 }
 
 TEST_CASE_METHOD(InForceFixture, "inForce_peerFreshFromPlatform_confirms", "[inforce]")
 {
-    this->table.complete(5, this->clock.now());
+    this->table.markComplete(5, this->clock.now());
     this->clock.advance(Seconds{100});
-    this->table.confirm(5, this->clock.now() - Seconds{3});
+    this->table.markConfirmed(5, this->clock.now() - Seconds{3});
     CHECK(this->table.staleness(this->clock.now()) == Seconds{3});
 }
 
@@ -107,10 +107,10 @@
 {
     // The platform was set back to an older copy; it and whoever asked it are fresh, but of a
     // catalogue that this router has left behind.
-    this->table.complete(5, this->clock.now());
+    this->table.markComplete(5, this->clock.now());
     this->clock.advance(Seconds{100});
-    this->table.confirm(4, this->clock.now());
-    this->table.complete(4, this->clock.now());
-    CHECK(this->table.standing().completeTo == 5);
+    this->table.markConfirmed(4, this->clock.now());
+    this->table.markComplete(4, this->clock.now());
+    CHECK(this->table.freshness().completeVersion == 5);
     CHECK(this->table.staleness(this->clock.now()) == Seconds{100});
 }
--- a/tests/keeper.cpp
+++ b/tests/keeper.cpp
@@ -10,15 +10,15 @@
 class KeeperFixture
 {
 protected:
-    [[nodiscard]] SlotAsk askOf(std::uint32_t id, std::uint64_t chat) const
+    [[nodiscard]] SlotRequest askOf(std::uint32_t id, std::uint64_t chat) const
     {
         return {id, this->shard, chat, chat, {}};
     }
 
     Shard shard{"model", "hall-a", 0};
     std::vector<UpstreamId> engines{11, 22, 33, 44};
-    BoundSettings bound;
-    GrantView view{this->engines, this->bound, false};
+    LoadBoundSettings bound;
+    GrantContext view{this->engines, this->bound, false};
     ShardState state;
     TimePoint now{Seconds{1}};
 };
@@ -107,14 +107,14 @@
 {
     // An engine died; the first asker says so by its list of engines to avoid. The dead engine
     // has no load, and would otherwise draw every request that looks for the least loaded one.
-    SlotAsk retry = this->askOf(1, 5);
+    SlotRequest retry = this->askOf(1, 5);
     retry.avoid = {22};
     grantSlot(this->state, 1, retry, this->view, this->now);
     for (std::uint32_t id = 2; id < 40; ++id) {
         const auto reply = grantSlot(this->state, 1, this->askOf(id, id), this->view, this->now);
         CHECK(reply.upstream != 22);
     }
-    const TimePoint later = this->now + shunPeriod;
+    const TimePoint later = this->now + ejectionPeriod;
     CHECK(grantSlot(this->state, 1, this->askOf(40, 40), this->view, later).upstream == 22);
 }
 
@@ -122,28 +122,28 @@
 {
     // Two shards of one pool. The other one is idle, so this one is above the pool's mean long
     // before it is above its own, and its requests overflow to the other.
-    KeeperTable keeper;
+    ShardCoordinator keeper;
     const Shard own{"model", "hall-a", 0};
-    const GrantView view{{11, 22}, {}, false};
+    const GrantContext view{{11, 22}, {}, false};
     const TimePoint now{Seconds{10}};
     keeper.grant(1, {1, own, 1, 1, {}}, view, true, now);
     keeper.grant(1, {2, own, 2, 2, {}}, view, true, now);
-    keeper.takeSummary({{"model", "hall-a", 1}, 0, 2}, now);
+    keeper.receiveSummary({{"model", "hall-a", 1}, 0, 2}, now);
     CHECK(keeper.grant(1, {3, own, 3, 3, {}}, view, true, now).verdict == SlotVerdict::Overflow);
-    const TimePoint stale = now + poolPartLife;
+    const TimePoint stale = now + summaryLifetime;
     CHECK(keeper.grant(1, {4, own, 4, 4, {}}, view, true, stale).verdict == SlotVerdict::Granted);
 }
 
 TEST_CASE("keeper_newOrRivalled_isCareful", "[keeper]")
 {
     ShardState state;
-    state.since = TimePoint{Seconds{1}};
-    const TimePoint settled = state.since + settlePeriod;
-    CHECK(mustBeCareful(state, true, state.since));
-    CHECK_FALSE(mustBeCareful(state, true, settled));
-    CHECK(mustBeCareful(state, false, settled));
-    state.rivalHeard = settled;
-    CHECK(mustBeCareful(state, true, settled));
+    state.coordinatingSince = TimePoint{Seconds{1}};
+    const TimePoint settled = state.coordinatingSince + slotLearningPeriod;
+    CHECK(needsConservativeBound(state, true, state.coordinatingSince));
+    CHECK_FALSE(needsConservativeBound(state, true, settled));
+    CHECK(needsConservativeBound(state, false, settled));
+    state.rivalSeenAt = settled;
+    CHECK(needsConservativeBound(state, true, settled));
     CHECK(loadBound({}, 20, 4, true) == 6);
     CHECK(loadBound({}, 20, 4, false) == 7);
 }
--- a/tests/limits.cpp
+++ b/tests/limits.cpp
@@ -41,8 +41,8 @@
 
     void report(std::size_t router, Duration delay)
     {
-        const auto use = dueUse(this->locals[router], workspace, ++this->sequence, this->limit,
-                                this->fleet[router], this->settings, this->clock.now());
+        const auto use = dueReport(this->locals[router], workspace, ++this->sequence, this->limit,
+                                   this->fleet[router], this->settings, this->clock.now());
         if (use) {
             this->send({router,
                         this->ownerSeenBy[router],
@@ -63,17 +63,17 @@
             } else if (message.report) {
                 this->answer(message, answerDelay);
             } else {
-                takeShare(this->locals[message.to], message.shares->shares.front(),
-                          message.shares->sequence, this->settings, this->clock.now());
+                applyShare(this->locals[message.to], message.shares->shares.front(),
+                           message.shares->sequence, this->settings, this->clock.now());
             }
         }
     }
 
     void answer(const Message &message, Duration delay)
     {
-        const auto share = divideLimit(this->owned[message.to], this->limit, message.from,
-                                       message.report->uses.front(), message.report->sequence,
-                                       this->fleet[message.to], this->settings, this->clock.now());
+        const auto share = allocateShare(
+            this->owned[message.to], this->limit, message.from, message.report->uses.front(),
+            message.report->sequence, this->fleet[message.to], this->settings, this->clock.now());
         if (share) {
             this->send({message.to,
                         message.from,
@@ -89,8 +89,8 @@
     {
         double total = 0;
         for (std::size_t router = 0; router < this->locals.size(); ++router) {
-            total += rateOf(this->locals[router], this->limit, this->fleet[router], this->settings,
-                            this->clock.now());
+            total += allowedRate(this->locals[router], this->limit, this->fleet[router],
+                                 this->settings, this->clock.now());
         }
         return total;
     }
@@ -104,7 +104,7 @@
                                  this->settings, this->clock.now());
             if (!refused) {
                 ++admitted;
-                endWithinLimit(this->locals[router]);
+                releaseWithinLimit(this->locals[router]);
             }
         }
         return admitted;
@@ -138,7 +138,7 @@
         // Owner 1 follows owner 0; each router learns of it at a time of its own.
         if (random % 97 == 0) {
             world.ownerSeenBy[router] = 1;
-            world.fleet[1].changed = world.clock.now();
+            world.fleet[1].changedAt = world.clock.now();
         }
         if (random % 11 == 0 && !world.link.empty()) {
             world.link.pop_front();
@@ -146,15 +146,15 @@
         if (brokenLateAnswers) {
             for (const auto &message : world.link) {
                 if (message.shares) {
-                    world.locals[message.to].reportedIn = message.shares->sequence;
+                    world.locals[message.to].reportSequence = message.shares->sequence;
                 }
             }
-            world.owned[0].parts.clear();
-            world.owned[1].parts.clear();
+            world.owned[0].shares.clear();
+            world.owned[1].shares.clear();
         }
         world.deliver(Milliseconds(random / 13 % 1500));
         world.clock.advance(step);
-        if (world.sum() > limitFactor * world.limit.requestsPerSecond + 1e-6) {
+        if (world.sum() > maxOvershootFactor * world.limit.requestsPerSecond + 1e-6) {
             return false;
         }
     }
@@ -237,9 +237,9 @@
     this->offer(10 * stepsInSecond, std::vector<std::size_t>(routers, 2));
     this->world.island[5] = 1;
     this->offer(10 * stepsInSecond, std::vector<std::size_t>(routers, 2));
-    const double rate = rateOf(this->world.locals[5], this->world.limit, this->world.fleet[5],
-                               this->world.settings, this->world.clock.now());
-    CHECK(rate == Approx(100 * this->world.settings.reserve / routers));
+    const double rate = allowedRate(this->world.locals[5], this->world.limit, this->world.fleet[5],
+                                    this->world.settings, this->world.clock.now());
+    CHECK(rate == Approx(100 * this->world.settings.reserveFraction / routers));
     CHECK(this->world.sum() <= 100.0 + 1e-6);
 }
 
--- a/tests/limitsfleet.cpp
+++ b/tests/limitsfleet.cpp
@@ -12,12 +12,12 @@
 
 constexpr std::uint16_t ownPorts = 29500;
 constexpr std::uint32_t routers = 3;
-constexpr std::uint32_t allowedRate = 20;
+constexpr std::uint32_t workspaceRate = 20;
 const std::string token = "token-lowther-0";
 
 Deployment deploymentWith(std::uint32_t engines)
 {
-    Deployment deployment = lowtherWith(ownPorts, routers);
+    Deployment deployment = lowtherDeployment(ownPorts, routers);
     deployment.engines = engines;
     return deployment;
 }
@@ -36,7 +36,7 @@
 Deployment limitedDeployment()
 {
     Deployment deployment = deploymentWith(3);
-    bodyOf<Workspace>(deployment, "workspace-0").requestsPerSecond = allowedRate;
+    bodyOf<Workspace>(deployment, "workspace-0").requestsPerSecond = workspaceRate;
     return deployment;
 }
 
@@ -52,14 +52,14 @@
 /// Until all routers know each other they may disagree about owner and keeper.
 /// Lets router 0 run a long chat, then sends a short one to router 1.
 /// \returns the answers to both.
-std::pair<net::HttpAnswer, net::HttpAnswer> chatBehindLongOne(Fleet &fleet)
+std::pair<net::HttpResponse, net::HttpResponse> chatBehindLongOne(Fleet &fleet)
 {
     constexpr std::uint32_t longAnswer = 300;
-    net::HttpAnswer first;
+    net::HttpResponse first;
     std::thread caller(
         [&] { first = fleet.chat(0, token, "a", chatBody(fleet, "text", longAnswer)); });
     CHECK(Fleet::eventually([&] { return fleet.standIns.engines.front()->load() == 1; }));
-    net::HttpAnswer second = fleet.chat(1, token, "b", chatBody(fleet, "text", 1));
+    net::HttpResponse second = fleet.chat(1, token, "b", chatBody(fleet, "text", 1));
     caller.join();
     return {std::move(first), std::move(second)};
 }
@@ -71,7 +71,7 @@
     // A workspace of 20 requests a second calls three routers as fast as it can. Each router
     // sees a third only; together they must not admit more than the stated multiple.
     Fleet fleet(limitedDeployment());
-    REQUIRE(fleet.startAndMeet());
+    REQUIRE(fleet.startAndConverge());
     constexpr int calls = 250;
     std::atomic<int> whole = 0;
     std::atomic<int> limited = 0;
@@ -91,7 +91,7 @@
     }
     const std::chrono::duration<double> lasted = std::chrono::steady_clock::now() - began;
     CHECK(whole + limited == calls * static_cast<int>(routers));
-    CHECK(whole <= limitFactor * allowedRate * (lasted.count() + 1) + routers);
+    CHECK(whole <= maxOvershootFactor * workspaceRate * (lasted.count() + 1) + routers);
     CHECK(whole >= 1);
     const auto refused = fleet.chat(0, "token-lowther-1", "c", chatBody(fleet, "text", 1));
     CHECK(refused.status == 200);
@@ -100,7 +100,7 @@
 TEST_CASE("queue_engineBusyBeyondBound_refusesAsExpiredAndNotRun", "[limitsfleet]")
 {
     Fleet fleet(queueDeployment(200));
-    REQUIRE(fleet.startAndMeet());
+    REQUIRE(fleet.startAndConverge());
     const auto [first, second] = chatBehindLongOne(fleet);
     CHECK(first.status == 200);
     CHECK(second.status == 503);
@@ -111,7 +111,7 @@
 TEST_CASE("queue_engineComesFreeInTime_answersTheWaitingRequest", "[limitsfleet]")
 {
     Fleet fleet(queueDeployment(20'000));
-    REQUIRE(fleet.startAndMeet());
+    REQUIRE(fleet.startAndConverge());
     const auto [first, second] = chatBehindLongOne(fleet);
     CHECK(first.status == 200);
     CHECK(second.status == 200);
@@ -126,9 +126,9 @@
     Service &service = bodyOf<Service>(deployment, deployment.modelService);
     service.engines.setup.version = wanted;
     service.engines.checkFencing = true;
-    service.engines.readyPercent = 50;
+    service.engines.minReadyPercent = 50;
     Fleet fleet(deployment);
-    REQUIRE(fleet.startAndMeet());
+    REQUIRE(fleet.startAndConverge());
     CHECK(Fleet::eventually([&] {
         return std::all_of(fleet.standIns.engines.begin(), fleet.standIns.engines.end(),
                            [&](const auto &engine) { return engine->setup().version == wanted; });
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -14,8 +14,8 @@
 {
     Heartbeat heartbeat;
     heartbeat.id = id;
-    heartbeat.place = place;
-    heartbeat.datagrams = {"127.0.0.1", port};
+    heartbeat.dataCentre = place;
+    heartbeat.datagramEndpoint = {"127.0.0.1", port};
     heartbeat.incarnation = 1;
     return heartbeat;
 }
@@ -32,9 +32,9 @@
     SwimOutput hear(const Heartbeat &from, std::vector<MemberUpdate> updates = {})
     {
         SwimMessage message;
-        message.from = from;
+        message.sender = from;
         message.updates = std::move(updates);
-        return swimReceive(this->state, this->settings, message, from.datagrams, this->now);
+        return swimReceive(this->state, this->settings, message, from.datagramEndpoint, this->now);
     }
 
     SwimSettings settings;
@@ -80,7 +80,7 @@
     // The broken variant buries a member at its first unanswered probe; the check must see it.
     MembersOptions options = smallRun();
     options.settings.indirectProbes = 0;
-    options.settings.suspicion = Duration{0};
+    options.settings.suspicionTimeout = Duration{0};
     CHECK_FALSE(isSound(runMembers(options)));
 }
 
@@ -144,7 +144,7 @@
         active.push_back(routerOf("router-" + std::to_string(index), index));
     }
     const auto count = std::count_if(active.begin(), active.end(), [&](const Heartbeat &each) {
-        return isWatcher(each.id, each.place, active);
+        return isWatcher(each.id, each.dataCentre, active);
     });
     CHECK(count == 3);
     CHECK(isWatcher("alone", "hall-a", {routerOf("alone", 1), routerOf("far", 2, "hall-b")}));
@@ -155,41 +155,41 @@
     // The platform hands out an empty list, then one cut in the middle. Dropping what is missing
     // would refuse every request at once.
     VmTable table;
-    VmPolls polls;
+    VmPollState polls;
     std::vector<Vm> whole;
     whole.reserve(10);
     for (int index = 0; index < 10; ++index) {
         whole.push_back(
             {"vm-" + std::to_string(index), VmRole::Engine, "model", "hall-a", {}, false});
     }
-    table.poll(polls, whole, 1);
-    table.poll(polls, {}, 2);
+    table.applyPoll(polls, whole, 1);
+    table.applyPoll(polls, {}, 2);
     CHECK(table.vms().size() == 10);
-    table.poll(polls, {whole.begin(), whole.begin() + 3}, 3);
+    table.applyPoll(polls, {whole.begin(), whole.begin() + 3}, 3);
     CHECK(table.vms().size() == 10);
-    table.poll(polls, {whole.begin(), whole.begin() + 9}, 4);
+    table.applyPoll(polls, {whole.begin(), whole.begin() + 9}, 4);
     CHECK(table.vms().size() == 9);
 }
 
 TEST_CASE("vmList_linesInAnyOrder_endEqualEverywhere", "[members]")
 {
     const bool equal = rc::check("merging is order-free and idempotent", [] {
-        std::vector<VmLine> lines;
+        std::vector<VmRecord> lines;
         const auto stamps = *rc::gen::container<std::vector<std::uint64_t>>(
             rc::gen::inRange<std::uint64_t>(1, 1000));
         for (std::size_t index = 0; index < stamps.size(); ++index) {
-            VmLine line;
+            VmRecord line;
             line.vm.id = "vm-" + std::to_string(stamps[index] % 5);
-            line.stamp = stamps[index];
+            line.version = stamps[index];
             line.gone = stamps[index] % 3 == 0;
             lines.push_back(line);
         }
         VmList first;
-        mergeLines(first, lines);
+        mergeRecords(first, lines);
         std::reverse(lines.begin(), lines.end());
         VmList second;
-        for (const VmLine &line : lines) {
-            mergeLines(second, {line, line});
+        for (const VmRecord &line : lines) {
+            mergeRecords(second, {line, line});
         }
         RC_ASSERT(digestOf(first) == digestOf(second));
     });
--- a/tests/membersnapshot.cpp
+++ b/tests/membersnapshot.cpp
@@ -11,8 +11,8 @@
 {
     Heartbeat heartbeat;
     heartbeat.id = id;
-    heartbeat.place = "hall-a";
-    heartbeat.datagrams = {"127.0.0.1", 1};
+    heartbeat.dataCentre = "hall-a";
+    heartbeat.datagramEndpoint = {"127.0.0.1", 1};
     heartbeat.incarnation = 1;
     return heartbeat;
 }
@@ -24,7 +24,7 @@
     heartbeat.incarnation = *rc::gen::inRange<std::uint64_t>(1, 3);
     heartbeat.refutation = *rc::gen::inRange<std::uint32_t>(0, 4);
     heartbeat.leaving = *rc::gen::inRange(0, 4) == 0;
-    heartbeat.datagrams.port = *rc::gen::inRange<std::uint16_t>(1, 3);
+    heartbeat.datagramEndpoint.port = *rc::gen::inRange<std::uint16_t>(1, 3);
     heartbeat.catalogueVersion = *rc::gen::inRange<std::uint64_t>(0, 9);
     return heartbeat;
 }
@@ -32,8 +32,8 @@
 SwimMessage anyMessage()
 {
     SwimMessage message;
-    message.kind = *rc::gen::element(SwimKind::Gossip, SwimKind::State, SwimKind::Ack);
-    message.from = anyRouter();
+    message.kind = *rc::gen::element(SwimKind::Gossip, SwimKind::JoinReply, SwimKind::Ack);
+    message.sender = anyRouter();
     const auto updates = *rc::gen::inRange(0, 3);
     for (int index = 0; index < updates; ++index) {
         message.updates.push_back(
@@ -50,7 +50,7 @@
     std::vector<Shown> result;
     for (const Heartbeat &member : members) {
         if (!member.leaving) {
-            result.emplace_back(member.id, member.incarnation, member.datagrams);
+            result.emplace_back(member.id, member.incarnation, member.datagramEndpoint);
         }
     }
     return result;
@@ -61,9 +61,9 @@
 protected:
     SnapshotFixture()
     {
-        this->members.begin(routerOf("own"), 1);
-        this->members.hear(routerOf("a"), this->now);
-        this->members.hear(routerOf("b"), this->now);
+        this->members.initialize(routerOf("own"), 1);
+        this->members.receiveHeartbeat(routerOf("a"), this->now);
+        this->members.receiveHeartbeat(routerOf("b"), this->now);
     }
 
     MemberTable members;
@@ -80,7 +80,7 @@
     const bool sound = rc::check("the snapshot follows the table", [] {
         MemberTable members;
         Heartbeat own = routerOf("own");
-        members.begin(own, 1);
+        members.initialize(own, 1);
         TimePoint now{Seconds{1}};
         const auto steps = *rc::gen::inRange(1, 40);
         for (int step = 0; step < steps; ++step) {
@@ -88,12 +88,12 @@
             const auto action = *rc::gen::inRange(0, 4);
             if (action == 0) {
                 own.leaving = *rc::gen::arbitrary<bool>();
-                static_cast<void>(members.tellFew(own));
+                static_cast<void>(members.gossipSelf(own));
             } else if (action == 1) {
                 static_cast<void>(members.tick(own, {}, now));
             } else {
                 const SwimMessage message = anyMessage();
-                static_cast<void>(members.receive(message, message.from.datagrams, now));
+                static_cast<void>(members.receive(message, message.sender.datagramEndpoint, now));
             }
             RC_ASSERT(shownBy(*members.active()) == shownBy(members.all()));
         }
@@ -106,8 +106,8 @@
     const MemberSnapshot before = this->members.active();
     Heartbeat peer = routerOf("a");
     peer.catalogueVersion = 7;
-    peer.catalogueAge = 3;
-    this->members.hear(peer, this->now);
+    peer.catalogueAgeMilliseconds = 3;
+    this->members.receiveHeartbeat(peer, this->now);
     Heartbeat own = routerOf("own");
     own.catalogueVersion = 7;
     static_cast<void>(this->members.tick(own, {}, this->now));
@@ -121,7 +121,7 @@
     Heartbeat peer = routerOf("a");
     peer.leaving = true;
     peer.refutation = 1;
-    this->members.hear(peer, this->now);
+    this->members.receiveHeartbeat(peer, this->now);
     CHECK(before->size() == 3);
     CHECK(this->members.active()->size() == 2);
 }
--- a/tests/metrics.cpp
+++ b/tests/metrics.cpp
@@ -83,7 +83,7 @@
 TEST_CASE_METHOD(MetricsFixture, "metrics_moreWorkspacesThanBound_busiestAreShown", "[metrics]")
 {
     constexpr std::size_t beyond = 3;
-    for (std::size_t number = 0; number < mostWorkspacesOnPage + beyond; ++number) {
+    for (std::size_t number = 0; number < maxWorkspacesOnPage + beyond; ++number) {
         this->record("v" + std::to_string(number), Milliseconds{20});
     }
     this->record("w", Milliseconds{20});
@@ -93,7 +93,7 @@
     CHECK(samples.at(bucket("w", "100")) == 1);
     CHECK(samples.at(bucket("w", "+Inf")) == 2);
     CHECK(samples.at("plantainswitch_series_beyond_bound") == beyond + 1);
-    CHECK(samples.at(countOfClass) == mostWorkspacesOnPage + beyond + 2);
+    CHECK(samples.at(countOfClass) == maxWorkspacesOnPage + beyond + 2);
     constexpr std::size_t mostBytes = 1'500'000;
     CHECK(this->metrics.render(this->now).size() < mostBytes);
 }
--- a/tests/operatorapply.cpp
+++ b/tests/operatorapply.cpp
@@ -72,13 +72,13 @@
         text["body"][name] = value;
         this->write(text);
     }
-    int apply() { return applyFile(this->platform, this->path, Output::Json); }
+    int apply() { return applyFile(this->platform, this->path, OutputFormat::Json); }
     [[nodiscard]] nlohmann::json there() { return toJson(*this->platform.get(edited).object); }
 
 private:
     void write(const nlohmann::json &text) const { std::ofstream(this->path) << text.dump(); }
 
-    PlatformCalls platform;
+    BlockingPlatformClient platform;
     std::string path;
 };
 
@@ -86,9 +86,9 @@
 {
 protected:
     ApplyFixture()
-        : fleet(lowtherWith(ownPorts, routers))
+        : fleet(lowtherDeployment(ownPorts, routers))
     {
-        REQUIRE(this->fleet.startAndMeet());
+        REQUIRE(this->fleet.startAndConverge());
     }
 
     Fleet fleet;
@@ -178,7 +178,7 @@
         }
         return exit != exitOk;
     }));
-    CHECK(exit == exitUnknown);
+    CHECK(exit == exitOutcomeUnknown);
     const nlohmann::json there = self.there();
     CHECK(there.at("body").at(field) == 60);
     CHECK(self.apply() == exitConflict);
