--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -21,16 +21,16 @@
 {
 protected:
     OperatorsFixture()
-        : fleet(lowtherWith(ownPorts, 1))
+        : fleet(lowtherDeployment(ownPorts, 1))
         , platform("http://" + toText(platformOf(this->fleet.deployment)))
     {}
 
     /// \returns what get prints.
-    std::string printed(Tokens tokens)
+    std::string printed(TokenVisibility tokens)
     {
         std::ostringstream text;
         std::streambuf *const before = std::cout.rdbuf(text.rdbuf());
-        const int code = getEntry(this->platform, this->workspace, Output::Json, tokens);
+        const int code = getEntry(this->platform, this->workspace, OutputFormat::Json, tokens);
         std::cout.rdbuf(before);
         REQUIRE(code == exitOk);
         return text.str();
@@ -40,13 +40,13 @@
     {
         const auto path = std::filesystem::temp_directory_path() / "plantainswitch-operators.json";
         std::ofstream(path) << file.dump();
-        const int code = applyFile(this->platform, path.string(), Output::Json);
+        const int code = applyFile(this->platform, path.string(), OutputFormat::Json);
         std::filesystem::remove(path);
         return code;
     }
 
     Fleet fleet;
-    PlatformCalls platform;
+    BlockingPlatformClient platform;
     EntryKey workspace{EntryKind::Workspace, "workspace-0"};
     EntryKey regulated{EntryKind::DataClass, "regulated"};
 };
@@ -60,7 +60,7 @@
     // over an unseen edit would lose it silently; the loser must be told what is there instead.
     std::atomic<std::uint32_t> written = 0;
     const std::uint64_t first = this->platform.get(this->regulated).object->version;
-    const auto edit = [this, &written](PlatformCalls &calls) {
+    const auto edit = [this, &written](BlockingPlatformClient &calls) {
         for (int round = 0; round < 20; ++round) {
             const auto read = calls.get(this->regulated);
             auto body = read.object->body;
@@ -70,7 +70,7 @@
             CHECK((answer.status == net::PlatformStatus::Ok || answer.object.has_value()));
         }
     };
-    PlatformCalls other("http://" + toText(platformOf(this->fleet.deployment)));
+    BlockingPlatformClient other("http://" + toText(platformOf(this->fleet.deployment)));
     std::thread second([&] { edit(other); });
     edit(this->platform);
     second.join();
@@ -82,7 +82,8 @@
 TEST_CASE_METHOD(OperatorsFixture, "operators_deleteOfUsedClass_isRefused", "[operators]")
 {
     const auto version = this->platform.get(this->regulated).object->version;
-    CHECK(deleteEntry(this->platform, this->regulated, version, Output::Json) == exitBadInput);
+    CHECK(deleteEntry(this->platform, this->regulated, version, OutputFormat::Json)
+          == exitBadInput);
     CHECK(this->platform.get(this->regulated).status == net::PlatformStatus::Ok);
 }
 
@@ -92,8 +93,8 @@
     workspace.dataClass = "no-such-class";
     workspace.services = {"no-such-service"};
     CHECK(checkReferences(workspace, {}).size() == 2);
-    const KnownEntries known{{{EntryKind::DataClass, "no-such-class"}, DataClass{}},
-                             {{EntryKind::Service, "no-such-service"}, Service{}}};
+    const StoredEntries known{{{EntryKind::DataClass, "no-such-class"}, DataClass{}},
+                              {{EntryKind::Service, "no-such-service"}, Service{}}};
     CHECK(checkReferences(workspace, known).empty());
 }
 
@@ -109,15 +110,15 @@
 
 TEST_CASE_METHOD(OperatorsFixture, "get_workspace_hidesTokenUnlessAsked", "[operators]")
 {
-    CHECK(this->printed(Tokens::Hidden).find("token-lowther-0") == std::string::npos);
-    CHECK(this->printed(Tokens::Shown).find("token-lowther-0") != std::string::npos);
+    CHECK(this->printed(TokenVisibility::Hidden).find("token-lowther-0") == std::string::npos);
+    CHECK(this->printed(TokenVisibility::Shown).find("token-lowther-0") != std::string::npos);
 }
 
 TEST_CASE_METHOD(OperatorsFixture, "apply_hiddenMark_keepsTheStoredToken", "[operators]")
 {
     // An operator reads a workspace without its token, edits a limit and applies the file. The
     // mark written as a token would lock all callers of the workspace out.
-    auto file = nlohmann::json::parse(this->printed(Tokens::Hidden));
+    auto file = nlohmann::json::parse(this->printed(TokenVisibility::Hidden));
     file["body"]["weight"] = 7;
     REQUIRE(this->apply(file) == exitOk);
     const auto stored = this->platform.get(this->workspace).object;
@@ -128,8 +129,8 @@
 TEST_CASE_METHOD(OperatorsFixture, "apply_hiddenMarkAfterTokenChanged_losesTheRace", "[operators]")
 {
     // The token is changed between one operator's get and apply. The old one must not come back.
-    const auto file = nlohmann::json::parse(this->printed(Tokens::Hidden));
-    auto newer = nlohmann::json::parse(this->printed(Tokens::Shown));
+    const auto file = nlohmann::json::parse(this->printed(TokenVisibility::Hidden));
+    auto newer = nlohmann::json::parse(this->printed(TokenVisibility::Shown));
     newer["body"]["token"] = "token-renewed";
     REQUIRE(this->apply(newer) == exitOk);
     CHECK(this->apply(file) == exitConflict);
@@ -138,7 +139,7 @@
 
 TEST_CASE_METHOD(OperatorsFixture, "apply_hiddenMarkOfNewWorkspace_isRefused", "[operators]")
 {
-    auto file = nlohmann::json::parse(this->printed(Tokens::Hidden));
+    auto file = nlohmann::json::parse(this->printed(TokenVisibility::Hidden));
     file["name"] = "workspace-new";
     file["version"] = 0;
     CHECK(this->apply(file) == exitBadInput);
--- a/tests/orders.cpp
+++ b/tests/orders.cpp
@@ -45,16 +45,16 @@
         if (decision.action != LeaseAction::None) {
             const auto version = store.put(this->self, decision.ifVersion);
             if (version && !answerLost) {
-                leaseWritten(this->watch, this->self, *version, this->settings, now);
+                recordLeaseWrite(this->watch, this->self, *version, this->settings, now);
             }
         }
-        return fencingNumber(this->watch, enginesCheck, this->settings, now);
+        return currentFencingToken(this->watch, enginesCheck, this->settings, now);
     }
 
     std::string self;
     EngineSetup wanted;
     LeaseSettings settings;
-    LeaseWatch watch;
+    LeaseState watch;
     std::optional<std::uint64_t> inHand;
 };
 
@@ -90,12 +90,12 @@
     Orderer second{"second", {"m", "2", "", ""}, {}, {}, {}};
 };
 
-std::vector<EngineReading> readingsOf(std::size_t count, std::size_t loading)
+std::vector<EngineStatus> readingsOf(std::size_t count, std::size_t loading)
 {
-    std::vector<EngineReading> readings(count);
+    std::vector<EngineStatus> readings(count);
     for (std::size_t index = 0; index < count; ++index) {
-        readings[index].read = true;
-        readings[index].loading = index < loading;
+        readings[index].isReachable = true;
+        readings[index].isLoading = index < loading;
     }
     return readings;
 }
@@ -154,9 +154,10 @@
     const std::uint64_t old = this->takeOverDuringPause();
     CHECK(this->engine.order(this->first.wanted, old));
     CHECK(this->engine.current.version == "1");
-    CHECK_FALSE(fencingNumber(this->first.watch, false, this->first.settings, this->clock.now()));
-    EngineReading reading;
-    reading.read = true;
+    CHECK_FALSE(
+        currentFencingToken(this->first.watch, false, this->first.settings, this->clock.now()));
+    EngineStatus reading;
+    reading.isReachable = true;
     reading.setup = this->engine.current;
     REQUIRE(planOrders({reading}, {this->second.wanted}).size() == 1);
     CHECK(this->engine.order(this->second.wanted, this->untilAllowed(this->second)));
@@ -169,7 +170,7 @@
     const TimePoint taken = this->clock.now();
     this->engine.checksFencing = false;
     this->untilAllowed(this->first);
-    CHECK(this->clock.now() - taken >= this->first.settings.longestPause);
+    CHECK(this->clock.now() - taken >= this->first.settings.maxProcessPause);
 }
 
 TEST_CASE("orders_staggered_neverBelowReadyShareNorAboveLoads", "[orders]")
@@ -179,11 +180,11 @@
         const auto loading = *rc::gen::inRange<std::size_t>(0, count + 1);
         EngineOrders wanted;
         wanted.setup.version = "2";
-        wanted.loadsAtOnce = *rc::gen::inRange<std::uint32_t>(1, 8);
-        wanted.readyPercent = *rc::gen::inRange<std::uint32_t>(0, 100);
+        wanted.maxConcurrentLoads = *rc::gen::inRange<std::uint32_t>(1, 8);
+        wanted.minReadyPercent = *rc::gen::inRange<std::uint32_t>(0, 100);
         const auto chosen = planOrders(readingsOf(count, loading), wanted).size();
-        const std::size_t least = count * wanted.readyPercent / 100;
-        RC_ASSERT(chosen == 0 || chosen + loading <= wanted.loadsAtOnce);
+        const std::size_t least = count * wanted.minReadyPercent / 100;
+        RC_ASSERT(chosen == 0 || chosen + loading <= wanted.maxConcurrentLoads);
         RC_ASSERT(chosen == 0 || count - loading - chosen >= least);
         RC_ASSERT(loading > 0 || chosen > 0);
     }));
--- a/tests/pages.cpp
+++ b/tests/pages.cpp
@@ -92,8 +92,8 @@
 TEST_CASE("callersPage_headersAndFields_areTheCodes", "[pages]")
 {
     const std::string page = textOf(root() / "docs/CALLERS.md");
-    for (const std::string_view header :
-         {chatHeader, keyHeader, nonIdempotentHeader, keyIssuedHeader, requestIdHeader}) {
+    for (const std::string_view header : {chatHeader, idempotencyKeyHeader, nonIdempotentHeader,
+                                          keyIssuedHeader, requestIdHeader}) {
         INFO(header);
         CHECK(page.find("`" + std::string(header) + "`") != std::string::npos);
     }
--- a/tests/pausewatch.cpp
+++ b/tests/pausewatch.cpp
@@ -15,11 +15,11 @@
     {
         this->clock.advance(step - frozen);
         this->uptime += step;
-        return this->watch.turn(this->clock.now(), this->uptime,
+        return this->watch.tick(this->clock.now(), this->uptime,
                                 this->clock.now() + Milliseconds{250});
     }
 
-    PauseWatch watch;
+    PauseDetector watch;
     ManualClock clock;
     Duration uptime{0};
 };
--- a/tests/peerloads.cpp
+++ b/tests/peerloads.cpp
@@ -27,37 +27,37 @@
 
 TEST_CASE_METHOD(PeerLoadsFixture, "peerLoads_severalRouters_areSummed", "[routing]")
 {
-    this->loads.take(newsOf("a", 1, 2));
-    this->loads.take(newsOf("b", 1, 3));
-    this->loads.take(newsOf("a", 2, 1));
-    CHECK(this->loads.at(7).running == 4);
-    CHECK(this->loads.at(7).unread == Approx(400));
-    CHECK(this->loads.at(8).running == 0);
+    this->loads.applyUpdate(newsOf("a", 1, 2));
+    this->loads.applyUpdate(newsOf("b", 1, 3));
+    this->loads.applyUpdate(newsOf("a", 2, 1));
+    CHECK(this->loads.totalAt(7).running == 4);
+    CHECK(this->loads.totalAt(7).pendingPrefillTokens == Approx(400));
+    CHECK(this->loads.totalAt(8).running == 0);
 }
 
 TEST_CASE_METHOD(PeerLoadsFixture, "peerLoads_newsThatOvertake_areDropped", "[routing]")
 {
-    CHECK(this->loads.take(newsOf("a", 5, 2)));
-    CHECK_FALSE(this->loads.take(newsOf("a", 4, 9)));
-    CHECK(this->loads.at(7).running == 2);
+    CHECK(this->loads.applyUpdate(newsOf("a", 5, 2)));
+    CHECK_FALSE(this->loads.applyUpdate(newsOf("a", 4, 9)));
+    CHECK(this->loads.totalAt(7).running == 2);
 }
 
 TEST_CASE_METHOD(PeerLoadsFixture, "peerLoads_routerStartsAgain_itsOldLoadsAreGone", "[routing]")
 {
-    this->loads.take(newsOf("a", 500, 2));
+    this->loads.applyUpdate(newsOf("a", 500, 2));
     RouterUpdate fresh = newsOf("a", 1, 1);
     fresh.incarnation = 2;
-    CHECK(this->loads.take(fresh));
-    CHECK(this->loads.at(7).running == 1);
+    CHECK(this->loads.applyUpdate(fresh));
+    CHECK(this->loads.totalAt(7).running == 1);
 }
 
 TEST_CASE_METHOD(PeerLoadsFixture, "peerLoads_goneRouter_isForgottenWithItsLoads", "[routing]")
 {
     // A router dies with requests on an engine. Its connections end with it; counted for ever,
     // its share would keep work away from an idle engine.
-    this->loads.take(newsOf("a", 1, 2));
-    CHECK(this->loads.routers() == 1);
-    this->loads.forget("a");
-    CHECK(this->loads.at(7).running == 0);
-    CHECK(this->loads.routers() == 0);
+    this->loads.applyUpdate(newsOf("a", 1, 2));
+    CHECK(this->loads.routerCount() == 1);
+    this->loads.removeRouter("a");
+    CHECK(this->loads.totalAt(7).running == 0);
+    CHECK(this->loads.routerCount() == 0);
 }
--- a/tests/plainclient.cpp
+++ b/tests/plainclient.cpp
@@ -17,10 +17,10 @@
 class PlainClientFixture
 {
 protected:
-    PlainReply call(const Endpoint &server, CallLimits limits)
+    CallReply call(const Endpoint &server, CallTimeouts limits)
     {
-        std::optional<PlainReply> reply;
-        this->client.call(server, "GET", "/x", {}, limits, [this, &reply](PlainReply ended) {
+        std::optional<CallReply> reply;
+        this->client.call(server, "GET", "/x", {}, limits, [this, &reply](CallReply ended) {
             reply = std::move(ended);
             this->context.stop();
         });
@@ -34,7 +34,7 @@
     SystemClock clock;
     platform::PlatformDialect dialect;
     GatewayState state{this->context, this->clock, this->dialect, {}};
-    PlainClient client{this->state};
+    SequentialHttpClient client{this->state};
 };
 
 } // namespace
@@ -46,6 +46,6 @@
     // what it knows of the store: it takes the call and never answers. Were the whole limit waited
     // for, upstreams that begin to leave meanwhile would get requests for seconds.
     ScriptedServer silent([](ServerConnection &connection) { connection.waitForEnd(); });
-    const PlainReply reply = this->call(silent.endpoint(), {endless, shortSilence});
+    const CallReply reply = this->call(silent.endpoint(), {endless, shortSilence});
     CHECK(reply.status == 0);
 }
--- a/tests/platformrequests.cpp
+++ b/tests/platformrequests.cpp
@@ -14,7 +14,7 @@
     {
         this->replica.id = "i-1";
         this->handover.replica = &this->replica;
-        this->handover.left = Milliseconds{1500};
+        this->handover.remainingTime = Milliseconds{1500};
         this->request.method = "POST";
         this->request.target = "/a/";
     }
@@ -22,7 +22,7 @@
     platform::PlatformDialect dialect;
     Replica replica;
     CallerRequest request;
-    Handover handover;
+    DispatchContext handover;
 };
 
 } // namespace
@@ -31,12 +31,12 @@
                  "[platform]")
 {
     this->handover.copyFrom = Endpoint{"10.1.2.3", 8080};
-    const std::string head = this->dialect.writeRequest(this->request, this->handover);
+    const std::string head = this->dialect.serializeRequest(this->request, this->handover);
     CHECK(head.find("Kv-Fetch: 10.1.2.3:8080\r\n") != std::string::npos);
 }
 
 TEST_CASE_METHOD(PlatformRequestsFixture, "platformRequest_noDonor_namesNone", "[platform]")
 {
-    const std::string head = this->dialect.writeRequest(this->request, this->handover);
+    const std::string head = this->dialect.serializeRequest(this->request, this->handover);
     CHECK(head.find("Kv-Fetch") == std::string::npos);
 }
--- a/tests/promptload.cpp
+++ b/tests/promptload.cpp
@@ -16,7 +16,7 @@
     PromptLoadResult play(std::uint64_t seed)
     {
         this->load.seed = seed;
-        return playPromptLoad(this->load, ChoicePolicy{});
+        return playPromptLoad(this->load, SelectionPolicy{});
     }
 
     /// Plays all seeds: hardly a token is read twice, and no engine holds more than its bound.
--- a/tests/reachability.cpp
+++ b/tests/reachability.cpp
@@ -25,8 +25,8 @@
             for (int number = 0; number < enginesInPlace; ++number) {
                 auto state = std::make_unique<UpstreamState>();
                 state->replica.id = place + "-engine-" + std::to_string(number);
-                state->replica.place = place;
-                state->replica.slots = 12;
+                state->replica.dataCentre = place;
+                state->replica.maxConcurrency = 12;
                 (place == cutPlace ? this->behindCut : this->others).push_back(state.get());
                 this->upstreams.push_back(state.get());
                 this->engines.push_back(std::move(state));
@@ -45,22 +45,23 @@
                 const int every = place == "hall-a" ? 5 : 27;
                 const bool isLost = isCut && place == cutPlace;
                 if (!isLost && turn % every == address % every) {
-                    RouterContact &contact = this->contacts.noteSeen(
+                    RouterContact &contact = this->contacts.recordReceived(
                         {"10.0.0." + std::to_string(address), 7000}, this->clock.now());
                     contact.id = place + std::to_string(number);
-                    contact.place = place;
+                    contact.dataCentre = place;
                 }
             }
         }
     }
 
-    [[nodiscard]] DataCentreReach reach() const
+    [[nodiscard]] DataCentreReachability reach() const
     {
         const TimePoint now = this->clock.now();
         const auto places = this->contacts.otherDataCentres(now);
         const auto known = places.find(std::string(cutPlace));
         REQUIRE(known != places.end());
-        return reachOf(evidenceOf(known->second, this->behindCut, {}, this->contacts, now), now);
+        return reachabilityOf(evidenceOf(known->second, this->behindCut, {}, this->contacts, now),
+                              now);
     }
 
     /// Places one request about one of many subjects. \returns whether it went behind the cut.
@@ -68,16 +69,16 @@
     {
         const TimePoint now = this->clock.now();
         const Prompt prompt{"m", {{1, 2500}, {this->random() % 1000 + 10, 6000}, {2, 500}}, 50};
-        const std::vector<std::uint64_t> chain = chainOf(prompt);
-        const auto choice = chooseUpstream(this->upstreams, {"hall-a", 0, &prompt, chain, {}},
+        const std::vector<std::uint64_t> chain = prefixHashesOf(prompt);
+        const auto choice = selectUpstream(this->upstreams, {"hall-a", 0, &prompt, chain, {}},
                                            this->memory, this->policy, now);
         REQUIRE(choice);
         UpstreamState &chosen = *this->upstreams[choice->index];
-        if (isCut && chosen.replica.place == cutPlace) {
+        if (isCut && chosen.replica.dataCentre == cutPlace) {
             recordFault(chosen.health, UpstreamFault::Unreachable, now);
             return true;
         }
-        chosen.lastHeard = now;
+        chosen.lastReceived = now;
         recordSuccess(chosen.health, Duration{0}, now);
         return false;
     }
@@ -86,13 +87,13 @@
     void judge()
     {
         const TimePoint until = this->clock.now() + Milliseconds{600};
-        const DataCentreReach reach = this->reach();
-        if (reach == DataCentreReach::Unresponsive) {
-            recordCutOff(this->behindCut.front()->health, until);
+        const DataCentreReachability reach = this->reach();
+        if (reach == DataCentreReachability::Unresponsive) {
+            recordDataCentreUnreachable(this->behindCut.front()->health, until);
         }
-        if (reach == DataCentreReach::CutOff) {
+        if (reach == DataCentreReachability::Unreachable) {
             for (UpstreamState *const upstream : this->behindCut) {
-                recordCutOff(upstream->health, until);
+                recordDataCentreUnreachable(upstream->health, until);
             }
         }
     }
@@ -123,8 +124,8 @@
     std::vector<UpstreamState *> upstreams;
     std::vector<UpstreamState *> behindCut;
     std::vector<UpstreamState *> others;
-    ChainMemory memory;
-    ChoicePolicy policy;
+    PrefixIndex memory;
+    SelectionPolicy policy;
     std::mt19937_64 random{20'261'203};
 };
 
@@ -154,7 +155,7 @@
     }
     recordFault(this->behindCut.front()->health, UpstreamFault::Unreachable, this->clock.now());
     this->clock.advance(Milliseconds{900});
-    CHECK(this->reach() == DataCentreReach::Reachable);
+    CHECK(this->reach() == DataCentreReachability::Reachable);
 }
 
 TEST_CASE("reachability_silentDataCentre_isCutOffOnlyIfConnectionsFail", "[routing]")
@@ -163,16 +164,16 @@
     clock.advance(Seconds{100});
     DataCentreEvidence evidence;
     evidence.lastReceived = clock.now();
-    evidence.updateGap = Milliseconds{90};
+    evidence.updateInterval = Milliseconds{90};
     evidence.localUpdates = minLocalUpdates;
-    evidence.hasFailed = true;
-    CHECK(reachOf(evidence, clock.now()) == DataCentreReach::Reachable);
-    clock.advance(unresponsiveSpan(evidence.updateGap));
-    CHECK(reachOf(evidence, clock.now()) == DataCentreReach::CutOff);
-    evidence.hasFailed = false;
-    CHECK(reachOf(evidence, clock.now()) == DataCentreReach::Unresponsive);
+    evidence.hasConnectFailures = true;
+    CHECK(reachabilityOf(evidence, clock.now()) == DataCentreReachability::Reachable);
+    clock.advance(unresponsiveTimeout(evidence.updateInterval));
+    CHECK(reachabilityOf(evidence, clock.now()) == DataCentreReachability::Unreachable);
+    evidence.hasConnectFailures = false;
+    CHECK(reachabilityOf(evidence, clock.now()) == DataCentreReachability::Unresponsive);
     evidence.lastReceived = {};
-    CHECK(reachOf(evidence, clock.now()) == DataCentreReach::Reachable);
+    CHECK(reachabilityOf(evidence, clock.now()) == DataCentreReachability::Reachable);
 }
 
 TEST_CASE("reachability_answerFromThere_endsTheMark", "[routing]")
@@ -181,9 +182,9 @@
     ManualClock clock;
     clock.advance(Seconds{100});
     UpstreamState upstream;
-    upstream.replica.place = std::string(cutPlace);
-    recordCutOff(upstream.health, clock.now() + Milliseconds{600});
-    CHECK(unreachableCount(upstream.health, clock.now()) == 1);
+    upstream.replica.dataCentre = std::string(cutPlace);
+    recordDataCentreUnreachable(upstream.health, clock.now() + Milliseconds{600});
+    CHECK(connectFailureCount(upstream.health, clock.now()) == 1);
     clock.advance(Milliseconds{600});
-    CHECK(unreachableCount(upstream.health, clock.now()) == 0);
+    CHECK(connectFailureCount(upstream.health, clock.now()) == 0);
 }
--- a/tests/routercontacts.cpp
+++ b/tests/routercontacts.cpp
@@ -21,9 +21,10 @@
 
     RouterContact &hear(int number, const std::string &place = "hall-a")
     {
-        RouterContact &contact = this->contacts.noteSeen(addressOf(number), this->clock.now());
+        RouterContact &contact =
+            this->contacts.recordReceived(addressOf(number), this->clock.now());
         contact.id = "router-" + std::to_string(number);
-        contact.place = place;
+        contact.dataCentre = place;
         return contact;
     }
 
@@ -31,7 +32,7 @@
     std::size_t tell(BroadcastScope wave = BroadcastScope::Due)
     {
         std::size_t told = 0;
-        for (const UpdateGroup &group : this->contacts.takeDue(wave, this->clock.now())) {
+        for (const UpdateGroup &group : this->contacts.takeDueGroups(wave, this->clock.now())) {
             told += group.routers.size();
         }
         return told;
@@ -55,7 +56,7 @@
     this->clock.advance(contactRetention);
     this->hear(100);
     this->clock.advance(Seconds{1});
-    this->contacts.forgetUnresponsive(this->clock.now());
+    this->contacts.removeUnresponsive(this->clock.now());
     CHECK(this->contacts.size() == 2);
 }
 
@@ -79,11 +80,11 @@
     this->clock.advance(gossipInterval);
     this->hear(1);
     this->hear(2);
-    const auto groups = this->contacts.takeDue(BroadcastScope::Due, this->clock.now());
+    const auto groups = this->contacts.takeDueGroups(BroadcastScope::Due, this->clock.now());
     REQUIRE(groups.size() == 2);
-    CHECK(groups[0].since == TimePoint{});
+    CHECK(groups[0].lastSent == TimePoint{});
     CHECK(groups[0].routers == std::vector<Endpoint>{addressOf(2)});
-    CHECK(groups[1].since == first);
+    CHECK(groups[1].lastSent == first);
     CHECK(groups[1].routers == std::vector<Endpoint>{addressOf(1)});
 }
 
@@ -109,7 +110,7 @@
                 this->hear(number, isNear ? "hall-a" : "hall-b");
             }
         }
-        gone += this->contacts.takeFailed(this->clock.now()).size();
+        gone += this->contacts.removeFailed(this->clock.now()).size();
         const std::size_t told = this->tell();
         datagrams += turn >= 100 ? told : 0;
         this->clock.advance(gossipInterval);
@@ -126,7 +127,7 @@
     CHECK(this->tell() == 2);
     this->clock.advance(Milliseconds{20});
     CHECK(this->tell() == 0);
-    CHECK(this->tell(BroadcastScope::Near) == 1);
+    CHECK(this->tell(BroadcastScope::Local) == 1);
     CHECK(this->tell(BroadcastScope::All) == 2);
 }
 
@@ -135,11 +136,11 @@
     this->hear(1);
     this->hear(2);
     this->clock.advance(peerTimeout - Milliseconds{1});
-    CHECK(this->contacts.takeFailed(this->clock.now()).empty());
+    CHECK(this->contacts.removeFailed(this->clock.now()).empty());
     this->hear(2);
     this->clock.advance(Milliseconds{1});
-    CHECK(this->contacts.takeFailed(this->clock.now()) == std::vector<std::string>{"router-1"});
-    CHECK(this->contacts.takeFailed(this->clock.now()).empty());
+    CHECK(this->contacts.removeFailed(this->clock.now()) == std::vector<std::string>{"router-1"});
+    CHECK(this->contacts.removeFailed(this->clock.now()).empty());
     CHECK(this->contacts.addressesOf("router-1").size() == 1);
 }
 
@@ -151,26 +152,26 @@
     this->clock.advance(peerTimeout - Milliseconds{1});
     this->hear(9).id = "router-1";
     this->clock.advance(Milliseconds{1});
-    CHECK(this->contacts.takeFailed(this->clock.now()).empty());
+    CHECK(this->contacts.removeFailed(this->clock.now()).empty());
 }
 
 TEST_CASE("newsLog_routersToldAtOtherTimes_eachHearsOfAllOnce", "[routing]")
 {
     UpdateLog log;
     ManualClock clock;
-    log.noteChain({1, 5}, clock.now());
+    log.recordPrefix({1, 5}, clock.now());
     clock.advance(Milliseconds{100});
     const TimePoint between = clock.now();
-    log.noteChain({2, 5}, clock.now());
-    log.noteCleared(7, clock.now());
-    CHECK(log.chainsSince({}, 10).size() == 2);
-    CHECK(log.chainsSince({}, 1).front().chain == 2);
-    CHECK(log.chainsSince(between, 10).size() == 1);
-    CHECK(log.suspectsSince(between).cleared == std::vector<RequestFingerprint>{7});
+    log.recordPrefix({2, 5}, clock.now());
+    log.recordCleared(7, clock.now());
+    CHECK(log.prefixesSince({}, 10).size() == 2);
+    CHECK(log.prefixesSince({}, 1).front().prefix == 2);
+    CHECK(log.prefixesSince(between, 10).size() == 1);
+    CHECK(log.crashesSince(between).cleared == std::vector<RequestFingerprint>{7});
     clock.advance(Milliseconds{100});
-    CHECK(log.chainsSince(clock.now(), 10).empty());
-    log.forgetBefore(between);
-    CHECK(log.chainsSince({}, 10).size() == 1);
+    CHECK(log.prefixesSince(clock.now(), 10).empty());
+    log.removeBefore(between);
+    CHECK(log.prefixesSince({}, 10).size() == 1);
 }
 
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_allRouters_agreeOnAnEnginesKeeper",
@@ -182,18 +183,18 @@
         this->hear(number, number < 3 ? "hall-a" : "hall-b");
     }
     RouterContacts other("router-5", "hall-b");
-    RouterContact &first = other.noteSeen(addressOf(9), this->clock.now());
+    RouterContact &first = other.recordReceived(addressOf(9), this->clock.now());
     first.id = "router-0";
-    first.place = "hall-a";
+    first.dataCentre = "hall-a";
     for (int number = 1; number <= 4; ++number) {
-        RouterContact &contact = other.noteSeen(addressOf(number), this->clock.now());
+        RouterContact &contact = other.recordReceived(addressOf(number), this->clock.now());
         contact.id = "router-" + std::to_string(number);
-        contact.place = number < 3 ? "hall-a" : "hall-b";
+        contact.dataCentre = number < 3 ? "hall-a" : "hall-b";
     }
     std::set<std::string> keepers;
     for (std::uint64_t life = 1; life <= 50; ++life) {
-        const auto here = this->contacts.keeperOf(life, "hall-b", false, this->clock.now());
-        const auto there = other.keeperOf(life, "hall-b", false, this->clock.now());
+        const auto here = this->contacts.coordinatorOf(life, "hall-b", false, this->clock.now());
+        const auto there = other.coordinatorOf(life, "hall-b", false, this->clock.now());
         REQUIRE(here);
         CHECK((there ? *there == *here : *here == addressOf(5)));
         keepers.insert(here->host);
@@ -207,14 +208,14 @@
 {
     this->hear(1, "hall-b");
     this->hear(2, "hall-b");
-    const auto keeper = this->contacts.keeperOf(7, "hall-b", false, this->clock.now());
+    const auto keeper = this->contacts.coordinatorOf(7, "hall-b", false, this->clock.now());
     REQUIRE(keeper);
-    this->contacts.noteSeen(*keeper, this->clock.now()).stopping = true;
-    const auto next = this->contacts.keeperOf(7, "hall-b", false, this->clock.now());
+    this->contacts.recordReceived(*keeper, this->clock.now()).stopping = true;
+    const auto next = this->contacts.coordinatorOf(7, "hall-b", false, this->clock.now());
     REQUIRE(next);
     CHECK(*next != *keeper);
     this->clock.advance(peerTimeout);
-    CHECK_FALSE(this->contacts.keeperOf(7, "hall-b", false, this->clock.now()));
+    CHECK_FALSE(this->contacts.coordinatorOf(7, "hall-b", false, this->clock.now()));
 }
 
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_manyKnowMore_nearOnesAreAskedInTurn",
@@ -226,12 +227,12 @@
     }
     std::set<std::string> asked;
     for (std::uint64_t turn = 1; turn <= 50; ++turn) {
-        const auto best = this->contacts.newerRouter(8, 0, turn, this->clock.now());
+        const auto best = this->contacts.routerWithNewerState(8, 0, turn, this->clock.now());
         REQUIRE(best);
         asked.insert(best->host);
     }
     CHECK(asked == std::set<std::string>{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"});
-    CHECK_FALSE(this->contacts.newerRouter(9, 0, 1, this->clock.now()));
+    CHECK_FALSE(this->contacts.routerWithNewerState(9, 0, 1, this->clock.now()));
 }
 
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_someHeard_comeRoundToAll", "[routing]")
@@ -241,7 +242,7 @@
     }
     std::set<std::string> told;
     for (std::uint64_t turn = 1; turn <= 5; ++turn) {
-        const auto some = this->contacts.someAlive(4, turn, this->clock.now());
+        const auto some = this->contacts.aliveSubset(4, turn, this->clock.now());
         CHECK(some.size() == 4);
         for (const Endpoint &each : some) {
             told.insert(each.host);
@@ -254,16 +255,16 @@
 {
     // 240 routers lose power together and list 43 pages each. The platform refuses most calls; as
     // long as all ask on, hardly a list comes to its end, and nobody is served for half a minute.
-    WatchSituation situation;
-    situation.unserved = watcherPatience;
-    situation.sinceStart = watcherPatience;
+    WatchConditions situation;
+    situation.sinceServedRouter = watchTakeoverDelay;
+    situation.sinceStart = watchTakeoverDelay;
     situation.knowsOthers = true;
     CHECK(shouldWatch(situation));
     situation.isPlatformBusy = true;
     CHECK_FALSE(shouldWatch(situation));
-    situation.sinceStart = busyPatience;
+    situation.sinceStart = startupBackoff;
     CHECK(shouldWatch(situation));
-    situation.sinceStart = watcherPatience;
+    situation.sinceStart = watchTakeoverDelay;
     situation.knowsOthers = false;
     CHECK(shouldWatch(situation));
 }
@@ -272,16 +273,16 @@
 {
     // A router that serves by what it knows must not wait: an edit has to be in force in two
     // seconds.
-    WatchSituation situation;
+    WatchConditions situation;
     situation.knowsOthers = true;
     situation.knowsUpstreams = true;
     situation.isPlatformBusy = true;
     situation.sinceStart = Seconds{5};
     CHECK_FALSE(shouldWatch(situation));
-    situation.unserved = watcherPatience;
+    situation.sinceServedRouter = watchTakeoverDelay;
     CHECK(shouldWatch(situation));
-    situation.unserved = Milliseconds{0};
-    situation.isChosen = true;
+    situation.sinceServedRouter = Milliseconds{0};
+    situation.isChosenWatcher = true;
     CHECK(shouldWatch(situation));
 }
 
@@ -335,9 +336,9 @@
                 const std::string other = "router-" + std::to_string(number);
                 if (other != id && other != failed) {
                     RouterContact &contact =
-                        contacts.noteSeen(addressOf(number), this->clock.now());
+                        contacts.recordReceived(addressOf(number), this->clock.now());
                     contact.id = other;
-                    contact.place = "hall-a";
+                    contact.dataCentre = "hall-a";
                 }
             }
         }
--- a/tests/routes.cpp
+++ b/tests/routes.cpp
@@ -15,7 +15,7 @@
         Route route;
         route.name = name;
         route.host = host;
-        route.prefix = prefix;
+        route.pathPrefix = prefix;
         route.services = {{"service-" + name, 1}};
         return route;
     }
@@ -26,7 +26,7 @@
         config.version = 1;
         config.routes = std::move(routes);
         config.workspaces = {{"alpha", {"key-a", "key-b"}, 1}, {"beta", {"key-c"}, std::nullopt}};
-        config.asksKeys = true;
+        config.requiresKeys = true;
         return RoutingTable(std::move(config));
     }
 
@@ -94,22 +94,22 @@
 TEST_CASE_METHOD(RoutesFixture, "routes_workspaceWithRank_goesBeforeTheRoutes", "[routing]")
 {
     Route route = routeTo("one", "h", "/");
-    route.rank = 5;
+    route.priority = 5;
     const RoutingTable table = tableOf({route});
-    CHECK(rankOf(route, table.findWorkspace("key-a")) == 1);
-    CHECK(rankOf(route, table.findWorkspace("key-c")) == 5);
-    CHECK(rankOf(route, nullptr) == 5);
+    CHECK(requestPriority(route, table.findWorkspace("key-a")) == 1);
+    CHECK(requestPriority(route, table.findWorkspace("key-c")) == 5);
+    CHECK(requestPriority(route, nullptr) == 5);
 }
 
 TEST_CASE_METHOD(RoutesFixture, "mayRepeat_streamThatCannotResume_isNotRepeated", "[routing]")
 {
     Route route;
     route.kind = RouteKind::Streaming;
-    CHECK_FALSE(mayRepeat(route));
+    CHECK_FALSE(isRetryable(route));
     route.resumable = true;
-    CHECK(mayRepeat(route));
+    CHECK(isRetryable(route));
     route.kind = RouteKind::NonIdempotent;
-    CHECK_FALSE(mayRepeat(route));
+    CHECK_FALSE(isRetryable(route));
     route.kind = RouteKind::Idempotent;
-    CHECK(mayRepeat(route));
+    CHECK(isRetryable(route));
 }
--- a/tests/serviceestimator.cpp
+++ b/tests/serviceestimator.cpp
@@ -50,7 +50,7 @@
         return std::abs(std::log(estimate / truth)) <= std::log(factor);
     }
 
-    ServiceFigures engine;
+    ServicePerformance engine;
     std::mt19937_64 random{20'261'203};
     ManualClock clock;
 };
@@ -60,7 +60,8 @@
 TEST_CASE_METHOD(ServiceEstimatorFixture, "estimator_noSamples_givesThePrior", "[routing]")
 {
     const ServiceEstimator estimator;
-    CHECK(estimator.figures(this->clock.now()).prefillRate == Approx(ServiceFigures{}.prefillRate));
+    CHECK(estimator.performance(this->clock.now()).prefillRate
+          == Approx(ServicePerformance{}.prefillRate));
     CHECK(estimator.ownReport().prefillSamples == 0.0);
 }
 
@@ -75,7 +76,7 @@
     this->engine.baseDelay = 60.0;
     ServiceEstimator estimator;
     this->serve(estimator, 300);
-    const ServiceFigures figures = estimator.figures(this->clock.now());
+    const ServicePerformance figures = estimator.performance(this->clock.now());
     CHECK(isWithin(figures.prefillRate, rate, 1.4));
     CHECK(isWithin(figures.transferRate, transferRate, 1.6));
     CHECK(isWithin(figures.baseDelay, this->engine.baseDelay, 1.4));
@@ -89,7 +90,7 @@
     this->serve(estimator, 2000);
     this->engine.prefillRate = 25.0;
     this->serve(estimator, 1500);
-    CHECK(isWithin(estimator.figures(this->clock.now()).prefillRate, 25.0, 1.5));
+    CHECK(isWithin(estimator.performance(this->clock.now()).prefillRate, 25.0, 1.5));
 }
 
 // Guards against a covariance that grows without limit while all samples are alike.
@@ -98,12 +99,12 @@
 {
     ServiceEstimator estimator;
     this->serve(estimator, 300);
-    const double before = estimator.figures(this->clock.now()).prefillRate;
+    const double before = estimator.performance(this->clock.now()).prefillRate;
     for (int i = 0; i < 20'000; ++i) {
         estimator.recordFirstByte({50.0, 0.0, 5.0, Milliseconds{45}});
     }
     estimator.recordFirstByte({8000.0, 0.0, 5.0, Milliseconds{4000}});
-    CHECK(isWithin(estimator.figures(this->clock.now()).prefillRate, before, 1.5));
+    CHECK(isWithin(estimator.performance(this->clock.now()).prefillRate, before, 1.5));
 }
 
 // Guards against a window so short that a few queued answers throw the estimate far off.
@@ -114,7 +115,7 @@
     this->serve(estimator, 500);
     for (int i = 0; i < 100; ++i) {
         this->serve(estimator, 100);
-        const double rate = estimator.figures(this->clock.now()).prefillRate;
+        const double rate = estimator.performance(this->clock.now()).prefillRate;
         REQUIRE(isWithin(rate, this->engine.prefillRate, 1.6));
     }
 }
@@ -126,31 +127,34 @@
     ServiceEstimator other;
     this->serve(other, 300);
     ServiceEstimator joining;
-    joining.takeReport("router-2", other.ownReport(), this->clock.now());
-    CHECK(isWithin(joining.figures(this->clock.now()).prefillRate, 30.0, 1.5));
-    this->clock.advance(figureReportLifetime + Seconds{1});
-    CHECK(joining.figures(this->clock.now()).prefillRate == Approx(ServiceFigures{}.prefillRate));
+    joining.applyReport("router-2", other.ownReport(), this->clock.now());
+    CHECK(isWithin(joining.performance(this->clock.now()).prefillRate, 30.0, 1.5));
+    this->clock.advance(performanceReportLifetime + Seconds{1});
+    CHECK(joining.performance(this->clock.now()).prefillRate
+          == Approx(ServicePerformance{}.prefillRate));
 }
 
 // Guards against a broken report that turns every estimate into no number.
 TEST_CASE_METHOD(ServiceEstimatorFixture, "estimator_invalidReport_isIgnored", "[routing]")
 {
     ServiceEstimator estimator;
-    FigureReport report;
+    PerformanceReport report;
     report.prefillSamples = 100.0;
-    report.figures.prefillRate = GENERATE(0.0, -3.0, NAN, INFINITY);
-    estimator.takeReport("router-2", report, this->clock.now());
-    CHECK(estimator.figures(this->clock.now()).prefillRate == Approx(ServiceFigures{}.prefillRate));
+    report.performance.prefillRate = GENERATE(0.0, -3.0, NAN, INFINITY);
+    estimator.applyReport("router-2", report, this->clock.now());
+    CHECK(estimator.performance(this->clock.now()).prefillRate
+          == Approx(ServicePerformance{}.prefillRate));
 }
 
 // Guards against a weight that is no number.
 TEST_CASE_METHOD(ServiceEstimatorFixture, "estimator_invalidSampleCount_isIgnored", "[routing]")
 {
     ServiceEstimator estimator;
-    FigureReport report;
-    report.holdSamples = NAN;
-    estimator.takeReport("router-2", report, this->clock.now());
-    CHECK(estimator.figures(this->clock.now()).holdTime == Approx(ServiceFigures{}.holdTime));
+    PerformanceReport report;
+    report.slotHoldSamples = NAN;
+    estimator.applyReport("router-2", report, this->clock.now());
+    CHECK(estimator.performance(this->clock.now()).slotHoldTime
+          == Approx(ServicePerformance{}.slotHoldTime));
 }
 
 TEST_CASE_METHOD(ServiceEstimatorFixture, "breakEven_transferSlowerThanPrefill_isInfinite",
@@ -158,9 +162,9 @@
 {
     this->engine.prefillRate = 45.0;
     this->engine.transferRate = 15.0;
-    CHECK(std::isinf(breakEvenTransfer(this->engine)));
+    CHECK(std::isinf(breakEvenTransferTokens(this->engine)));
     this->engine.transferRate = 200.0;
-    const double tokens = breakEvenTransfer(this->engine);
+    const double tokens = breakEvenTransferTokens(this->engine);
     CHECK(tokens / this->engine.prefillRate
           == Approx(this->engine.transferSetup + tokens / this->engine.transferRate));
 }
--- a/tests/silentstore.cpp
+++ b/tests/silentstore.cpp
@@ -10,7 +10,7 @@
 {
     // Guards against serving by old configuration while a watch waits that nobody will answer.
     this->start();
-    this->swallowWatches();
-    this->editUnnoticed(8);
-    CHECK(this->eventually([this] { return this->versionInForce() == 8; }));
+    this->ignoreWatches();
+    this->editConfigSilently(8);
+    CHECK(this->eventually([this] { return this->appliedConfigVersion() == 8; }));
 }
--- a/tests/slotsync.cpp
+++ b/tests/slotsync.cpp
@@ -24,10 +24,10 @@
     explicit History(Broken broken)
         : broken(broken)
     {
-        this->view.ready = {11, 22, 33, 44};
+        this->view.readyEngines = {11, 22, 33, 44};
         if (broken == Broken::NoBound) {
-            this->view.settings.multiple = 100;
-            this->view.settings.innerMultiple = 100;
+            this->view.settings.loadFactor = 100;
+            this->view.settings.affinityLoadFactor = 100;
         }
     }
 
@@ -112,7 +112,7 @@
             }
         }
         const std::uint32_t allowed =
-            loadBound(BoundSettings{}, peaks, this->view.ready.size()) + 1;
+            loadBound(LoadBoundSettings{}, peaks, this->view.readyEngines.size()) + 1;
         this->boundHeld = this->boundHeld && running <= allowed;
     }
 
@@ -124,7 +124,7 @@
         }
         const std::uint32_t askId = held.begin()->first;
         held.erase(held.begin());
-        for (KeeperTable &keeper : this->keepers) {
+        for (ShardCoordinator &keeper : this->keepers) {
             if (!lost) {
                 keeper.release(router, {shardIdOf(theShard), {askId}});
             }
@@ -137,14 +137,14 @@
             return;
         }
         for (std::size_t router = 0; router < routerCount; ++router) {
-            KeeperTable &keeper = this->keepers.at(this->keeperOfRouter.at(router));
+            ShardCoordinator &keeper = this->keepers.at(this->keeperOfRouter.at(router));
             const auto digest = digestOf(shardIdOf(theShard), this->held.at(router), this->nextAsk);
-            if (!keeper.differs(router, digest, this->now) || this->broken == Broken::NoLists) {
+            if (!keeper.checkDigest(router, digest, this->now) || this->broken == Broken::NoLists) {
                 continue;
             }
             for (const SlotList &list :
-                 listsOf(theShard, router, this->held.at(router), this->nextAsk)) {
-                keeper.takeList(router, list, this->now);
+                 splitIntoLists(theShard, router, this->held.at(router), this->nextAsk)) {
+                keeper.receiveList(router, list, this->now);
             }
         }
     }
@@ -152,16 +152,16 @@
     void loseRouter(std::size_t router)
     {
         this->held.at(router).clear();
-        for (KeeperTable &keeper : this->keepers) {
+        for (ShardCoordinator &keeper : this->keepers) {
             keeper.releaseRouter(router);
         }
     }
 
     Broken broken;
-    GrantView view;
+    GrantContext view;
     TimePoint now{Seconds{1}};
     std::uint32_t nextAsk = 1;
-    std::array<KeeperTable, keeperCount> keepers;
+    std::array<ShardCoordinator, keeperCount> keepers;
     std::array<std::size_t, routerCount> keeperOfRouter{};
     std::array<std::map<std::uint32_t, UpstreamId>, routerCount> held;
     std::array<std::uint64_t, keeperCount> peak{};
@@ -192,31 +192,31 @@
     // A request ends and its release is lost. Without more the slot would stay for ever and the
     // engine get less and less work. The router's next digest differs, the keeper asks for the
     // list and gives back what isn't in it.
-    KeeperTable keeper;
+    ShardCoordinator keeper;
     const TimePoint now{Seconds{1}};
-    const GrantView view{{11, 22}, {}, false};
+    const GrantContext view{{11, 22}, {}, false};
     const ShardId id = shardIdOf(theShard);
     keeper.grant(1, {1, theShard, 5, 5, {}}, view, true, now);
     const SlotReply second = keeper.grant(1, {2, theShard, 6, 6, {}}, view, true, now);
     const std::map<std::uint32_t, UpstreamId> held{{2, second.upstream}};
     CHECK(keeper.loads(id).size() == 2);
-    REQUIRE(keeper.differs(1, digestOf(id, held, 3), now));
-    keeper.takeList(1, listsOf(theShard, 1, held, 3).front(), now);
+    REQUIRE(keeper.checkDigest(1, digestOf(id, held, 3), now));
+    keeper.receiveList(1, splitIntoLists(theShard, 1, held, 3).front(), now);
     CHECK(keeper.loads(id) == std::map<UpstreamId, std::uint32_t>{{second.upstream, 1}});
-    CHECK_FALSE(keeper.differs(1, digestOf(id, held, 3), now));
+    CHECK_FALSE(keeper.checkDigest(1, digestOf(id, held, 3), now));
 }
 
 TEST_CASE("slotSync_askUnderWay_isNotTakenBack", "[slotsync]")
 {
     // The keeper has granted ask 2, its answer is still under way, and the router's digest comes
     // in between. The digest only counts asks below the oldest one under way.
-    KeeperTable keeper;
+    ShardCoordinator keeper;
     const TimePoint now{Seconds{1}};
-    const GrantView view{{11, 22}, {}, false};
+    const GrantContext view{{11, 22}, {}, false};
     keeper.grant(1, {2, theShard, 6, 6, {}}, view, true, now);
     const ShardId id = shardIdOf(theShard);
-    CHECK_FALSE(keeper.differs(1, digestOf(id, {}, 2), now));
-    keeper.takeList(1, listsOf(theShard, 1, {}, 2).front(), now);
+    CHECK_FALSE(keeper.checkDigest(1, digestOf(id, {}, 2), now));
+    keeper.receiveList(1, splitIntoLists(theShard, 1, {}, 2).front(), now);
     CHECK(keeper.loads(id).size() == 1);
 }
 
@@ -224,16 +224,16 @@
 {
     // A leaving keeper hands over what it knows of router 1, which has already got slot 3 from the
     // next keeper. The handed-over list must not take that one back.
-    KeeperTable old;
-    KeeperTable next;
+    ShardCoordinator old;
+    ShardCoordinator next;
     const TimePoint now{Seconds{1}};
-    const GrantView view{{11, 22}, {}, false};
+    const GrantContext view{{11, 22}, {}, false};
     old.grant(1, {2, theShard, 6, 6, {}}, view, true, now);
     old.grant(1, {4, theShard, 7, 7, {}}, view, true, now);
     next.grant(1, {3, theShard, 8, 8, {}}, view, true, now);
     constexpr std::uint64_t oldKeeper = 99;
-    for (const SlotList &list : old.lists()) {
-        next.takeList(oldKeeper, list, now);
+    for (const SlotList &list : old.slotLists()) {
+        next.receiveList(oldKeeper, list, now);
     }
     std::uint32_t total = 0;
     for (const auto &[engine, load] : next.loads(shardIdOf(theShard))) {
@@ -245,13 +245,13 @@
 TEST_CASE("slotSync_manySlots_listsFitAndCoverAll", "[slotsync]")
 {
     std::map<std::uint32_t, UpstreamId> held;
-    for (std::uint32_t id = 1; id <= 3 * slotsInList + 1; ++id) {
+    for (std::uint32_t id = 1; id <= 3 * maxSlotsPerList + 1; ++id) {
         held[id] = 11;
     }
     ShardState state;
-    for (const SlotList &list : listsOf(theShard, 1, held, 1000)) {
-        CHECK(list.slots.size() <= slotsInList);
-        applyList(state, list, true, TimePoint{});
+    for (const SlotList &list : splitIntoLists(theShard, 1, held, 1000)) {
+        CHECK(list.slots.size() <= maxSlotsPerList);
+        applySlotList(state, list, true, TimePoint{});
     }
     CHECK(state.slots.size() == held.size());
 }
@@ -305,21 +305,22 @@
     for (const std::string &place : subset()) {
         active.push_back({"router-" + place, place, {}, {}, 1, 1, false});
     }
-    Admission admission;
+    Authorization admission;
     admission.service = "model";
-    admission.places = subset();
-    const std::set<std::string> permitted(admission.places.begin(), admission.places.end());
+    admission.dataCentres = subset();
+    const std::set<std::string> permitted(admission.dataCentres.begin(),
+                                          admission.dataCentres.end());
     if (broken) {
-        admission.places = places;
+        admission.dataCentres = places;
     }
     Reason reason;
     auto plan = planPlacement(admission, 7, upstreams, TimePoint{Seconds{1}}, reason);
     if (!plan) {
         return true;
     }
-    preferLivePlaces(*plan, active);
+    preferLiveDataCentres(*plan, active);
     return std::all_of(plan->shards.begin(), plan->shards.end(), [&permitted](const Shard &shard) {
-        return permitted.contains(shard.place);
+        return permitted.contains(shard.dataCentre);
     });
 }
 
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -26,7 +26,7 @@
     switch (record.kind) {
     case CallKind::Idempotent:
         return "/safe/x";
-    case CallKind::Once:
+    case CallKind::NonIdempotent:
         return "/once/x";
     case CallKind::Stream:
         return "/stream/x";
@@ -52,95 +52,98 @@
     std::uint64_t calls = 0;
 };
 
-SoakCallers::SoakCallers(asio::io_context &context, const Clock &clock, const CallerWorld &world,
-                         std::uint64_t seed, SoakHistory &history, TimePoint begin)
+SoakCallers::SoakCallers(asio::io_context &context, const Clock &clock,
+                         const CallerEnvironment &world, std::uint64_t seed, SoakHistory &history,
+                         TimePoint begin)
     : context(context)
     , clock(clock)
-    , world(world)
+    , environment(world)
     , random(seed)
     , history(history)
-    , started(begin)
+    , startTime(begin)
 {}
 
 SoakTime SoakCallers::now() const
 {
-    return std::chrono::duration_cast<SoakTime>(this->clock.now() - this->started);
+    return std::chrono::duration_cast<SoakTime>(this->clock.now() - this->startTime);
 }
 
 void SoakCallers::start(std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i) {
-        this->later(std::make_shared<Caller>(this->context));
+        this->scheduleCall(std::make_shared<Caller>(this->context));
     }
 }
 
-void SoakCallers::later(const std::shared_ptr<Caller> &caller)
+void SoakCallers::scheduleCall(const std::shared_ptr<Caller> &caller)
 {
-    if (this->stopped) {
+    if (this->isStopped) {
         return;
     }
     caller->timer.expires_after(
         Milliseconds{static_cast<std::int64_t>(this->random() % longestPauseMilliseconds)});
     caller->timer.async_wait([this, caller](const asio::error_code &error) {
-        if (!error && !this->stopped) {
-            this->call(caller);
+        if (!error && !this->isStopped) {
+            this->startCall(caller);
         }
     });
 }
 
-CallRecord SoakCallers::nextCall(const std::shared_ptr<Caller> &caller)
+CallRecord SoakCallers::makeCall(const std::shared_ptr<Caller> &caller)
 {
-    const bool keeps =
-        caller->connection && caller->connection->isReusable()
-        && this->random() % newConnectionOneOf != 0
-        && this->world.routers[caller->record.router].lifetime == caller->record.lifetime;
+    const bool keeps = caller->connection && caller->connection->isReusable()
+                       && this->random() % newConnectionOneOf != 0
+                       && this->environment.routers[caller->record.router].incarnation
+                              == caller->record.incarnation;
     CallRecord record;
-    record.attempt = fmt::format("a{}", ++this->lastAttempt);
+    record.attemptId = fmt::format("a{}", ++this->lastAttempt);
     record.kind = static_cast<CallKind>(this->random() % 3);
-    record.router = keeps ? caller->record.router : this->random() % this->world.routers.size();
-    record.lifetime = this->world.routers[record.router].lifetime;
+    record.router =
+        keeps ? caller->record.router : this->random() % this->environment.routers.size();
+    record.incarnation = this->environment.routers[record.router].incarnation;
     record.sentAt = this->now();
-    if (!this->world.routeVersions.empty() && this->random() % newRouteOneOf == 0) {
+    if (!this->environment.routeVersions.empty() && this->random() % newRouteOneOf == 0) {
         record.kind = CallKind::Idempotent;
-        const std::size_t which = this->random() % this->world.routeVersions.size();
-        record.routeVersion = this->world.routeVersions[which];
+        const std::size_t which = this->random() % this->environment.routeVersions.size();
+        record.routeVersion = this->environment.routeVersions[which];
     }
     const bool usesOther = this->random() % otherKeyOneOf == 0;
-    record.key = this->world.keys[usesOther ? this->random() % this->world.keys.size() : 0];
+    record.key =
+        this->environment.keys[usesOther ? this->random() % this->environment.keys.size() : 0];
     if (!keeps && caller->connection) {
-        caller->connection->drop();
+        caller->connection->abort();
         caller->connection.reset();
     }
     return record;
 }
 
-std::string SoakCallers::write(const CallRecord &record)
+std::string SoakCallers::serialize(const CallRecord &record)
 {
-    const std::string body = record.poison.empty() ? "body" : record.poison;
+    const std::string body = record.poisonId.empty() ? "body" : record.poisonId;
     return fmt::format("POST {} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: {}\r\n"
                        "X-Time-Budget: {}\r\nAuthorization: Bearer {}\r\n"
                        "Content-Length: {}\r\n\r\n{}",
-                       pathOf(record), record.attempt, budget.count(), record.key, body.size(),
+                       pathOf(record), record.attemptId, budget.count(), record.key, body.size(),
                        body);
 }
 
-void SoakCallers::startCrasher(const std::string &poison, std::size_t times)
+void SoakCallers::startPoisonCaller(const std::string &poison, std::size_t times)
 {
     const auto caller = std::make_shared<Caller>(this->context);
-    caller->record.poison = poison;
+    caller->record.poisonId = poison;
     caller->left = times;
-    this->later(caller);
+    this->scheduleCall(caller);
 }
 
-void SoakCallers::call(const std::shared_ptr<Caller> &caller)
+void SoakCallers::startCall(const std::shared_ptr<Caller> &caller)
 {
-    const std::string poison = caller->record.poison;
-    caller->record = this->nextCall(caller);
+    const std::string poison = caller->record.poisonId;
+    caller->record = this->makeCall(caller);
     if (!poison.empty()) {
-        caller->record.poison = poison;
+        caller->record.poisonId = poison;
         caller->record.kind = CallKind::Idempotent;
         caller->record.routeVersion = 0;
-        caller->record.key = this->world.keys.front();
+        caller->record.key = this->environment.keys.front();
     }
     this->send(caller);
 }
@@ -149,26 +152,27 @@
 {
     caller->isBusy = true;
     caller->calls += 1;
-    this->running += 1;
-    const std::string bytes = write(caller->record);
-    gateway::AnswerEvents events{
+    this->activeCalls += 1;
+    const std::string bytes = serialize(caller->record);
+    gateway::ResponseHandlers events{
         [caller](const gateway::MessageHead &head) {
             caller->record.status = head.status;
             return true;
         },
         [caller](std::string_view piece) { caller->record.body.append(piece); },
-        [this, caller](gateway::AnswerEnd end) {
-            this->finish(caller, end == gateway::AnswerEnd::Whole          ? CallEnd::Answered
-                                 : end == gateway::AnswerEnd::NotConnected ? CallEnd::NotConnected
-                                                                           : CallEnd::Cut);
+        [this, caller](gateway::ResponseOutcome end) {
+            this->finish(caller, end == gateway::ResponseOutcome::Complete ? CallOutcome::Completed
+                                 : end == gateway::ResponseOutcome::ConnectFailed
+                                     ? CallOutcome::NotConnected
+                                     : CallOutcome::Truncated);
         }};
-    const bool leavesEarly = caller->record.poison.empty() && this->random() % leavesOneOf == 0;
+    const bool leavesEarly = caller->record.poisonId.empty() && this->random() % leavesOneOf == 0;
     const Milliseconds stays = leavesEarly ? budget / 100 : budget + budget / 8;
     caller->timer.expires_after(stays);
     caller->timer.async_wait([this, caller, number = caller->calls](const asio::error_code &error) {
         if (!error && caller->isBusy && number == caller->calls) {
-            caller->connection->drop();
-            this->finish(caller, CallEnd::Left);
+            caller->connection->abort();
+            this->finish(caller, CallOutcome::Abandoned);
         }
     });
     if (caller->connection) {
@@ -176,22 +180,22 @@
         return;
     }
     caller->connection = std::make_shared<gateway::UpstreamConnection>(this->context, this->clock);
-    caller->connection->open(this->world.routers[caller->record.router].endpoint, connectLimit,
-                             bytes, std::move(events));
+    caller->connection->connectAndSend(this->environment.routers[caller->record.router].endpoint,
+                                       connectLimit, bytes, std::move(events));
 }
 
-void SoakCallers::finish(const std::shared_ptr<Caller> &caller, CallEnd end)
+void SoakCallers::finish(const std::shared_ptr<Caller> &caller, CallOutcome end)
 {
     if (!caller->isBusy) {
         return;
     }
     caller->isBusy = false;
-    caller->record.end = end;
+    caller->record.outcome = end;
     caller->record.endedAt = this->now();
     this->history.calls.push_back(caller->record);
-    this->running -= 1;
-    if (caller->record.poison.empty() || --caller->left > 0) {
-        this->later(caller);
+    this->activeCalls -= 1;
+    if (caller->record.poisonId.empty() || --caller->left > 0) {
+        this->scheduleCall(caller);
     }
 }
 
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -16,16 +16,16 @@
 namespace plantainswitch::soak {
 
 /// A router as callers know it.
-struct CallerTarget
+struct RouterTarget
 {
     Endpoint endpoint;
-    std::size_t lifetime = 0;
+    std::size_t incarnation = 0;
 };
 
 /// What callers may ask for at the moment.
-struct CallerWorld
+struct CallerEnvironment
 {
-    std::vector<CallerTarget> routers;
+    std::vector<RouterTarget> routers;
     /// Versions that brought a route.
     std::vector<std::uint64_t> routeVersions;
     /// The first one is never taken away.
@@ -36,36 +36,36 @@
 class SoakCallers
 {
 public:
-    SoakCallers(asio::io_context &context, const Clock &clock, const CallerWorld &world,
+    SoakCallers(asio::io_context &context, const Clock &clock, const CallerEnvironment &world,
                 std::uint64_t seed, SoakHistory &history, TimePoint begin);
 
     void start(std::size_t count);
     /// Sends the same request \a times over, one after the other, which crashes whoever runs it.
-    void startCrasher(const std::string &poison, std::size_t times);
+    void startPoisonCaller(const std::string &poison, std::size_t times);
     /// Lets running calls end and begins no more.
-    void stop() { this->stopped = true; }
-    [[nodiscard]] bool isIdle() const noexcept { return this->running == 0; }
+    void stop() { this->isStopped = true; }
+    [[nodiscard]] bool isIdle() const noexcept { return this->activeCalls == 0; }
 
 private:
     struct Caller;
 
-    void later(const std::shared_ptr<Caller> &caller);
-    void call(const std::shared_ptr<Caller> &caller);
+    void scheduleCall(const std::shared_ptr<Caller> &caller);
+    void startCall(const std::shared_ptr<Caller> &caller);
     void send(const std::shared_ptr<Caller> &caller);
-    void finish(const std::shared_ptr<Caller> &caller, CallEnd end);
-    [[nodiscard]] CallRecord nextCall(const std::shared_ptr<Caller> &caller);
-    [[nodiscard]] static std::string write(const CallRecord &record);
+    void finish(const std::shared_ptr<Caller> &caller, CallOutcome end);
+    [[nodiscard]] CallRecord makeCall(const std::shared_ptr<Caller> &caller);
+    [[nodiscard]] static std::string serialize(const CallRecord &record);
     [[nodiscard]] SoakTime now() const;
 
     asio::io_context &context;
     const Clock &clock;
-    const CallerWorld &world;
+    const CallerEnvironment &environment;
     std::mt19937_64 random;
     SoakHistory &history;
-    TimePoint started;
+    TimePoint startTime;
     std::uint64_t lastAttempt = 0;
-    std::size_t running = 0;
-    bool stopped = false;
+    std::size_t activeCalls = 0;
+    bool isStopped = false;
 };
 
 } // namespace plantainswitch::soak
--- a/tests/soak/documents.cpp
+++ b/tests/soak/documents.cpp
@@ -52,7 +52,7 @@
 std::string textOf(const RouterDocument &router)
 {
     return nlohmann::json{{"id", router.id},
-                          {"place", router.place},
+                          {"place", router.dataCentre},
                           {"callers", toText(router.callers)},
                           {"readiness", toText({router.callers.host, router.readinessPort})},
                           {"peer",
--- a/tests/soak/documents.h
+++ b/tests/soak/documents.h
@@ -22,7 +22,7 @@
 struct RouterDocument
 {
     std::string id;
-    std::string place;
+    std::string dataCentre;
     Endpoint callers;
     std::uint16_t readinessPort = 0;
     std::uint16_t datagramPort = 0;
--- a/tests/soak/history.cpp
+++ b/tests/soak/history.cpp
@@ -20,9 +20,10 @@
 using RunsByAttempt = std::map<std::string, std::vector<const RunRecord *>>;
 
 /// \returns whether a harm touches the span, or ended less than \a recovery before it.
-bool isHarmed(const std::vector<Harm> &harms, SoakTime from, SoakTime to, Milliseconds recovery)
+bool isHarmed(const std::vector<FaultInterval> &harms, SoakTime from, SoakTime to,
+              Milliseconds recovery)
 {
-    return std::any_of(harms.begin(), harms.end(), [&](const Harm &harm) {
+    return std::any_of(harms.begin(), harms.end(), [&](const FaultInterval &harm) {
         return harm.from <= to && from <= harm.to + recovery;
     });
 }
@@ -30,8 +31,8 @@
 bool isRouterHarmed(const SoakHistory &history, std::size_t router, SoakTime from, SoakTime to,
                     Milliseconds recovery)
 {
-    const auto found = history.routerHarms.find(router);
-    return found != history.routerHarms.end() && isHarmed(found->second, from, to, recovery);
+    const auto found = history.routerFaults.find(router);
+    return found != history.routerFaults.end() && isHarmed(found->second, from, to, recovery);
 }
 
 RunsByAttempt runsOf(const SoakHistory &history)
@@ -39,7 +40,7 @@
     RunsByAttempt runs;
     for (const RunRecord &run : history.runs) {
         if (!run.isRejected) {
-            runs[run.attempt].push_back(&run);
+            runs[run.attemptId].push_back(&run);
         }
     }
     return runs;
@@ -53,18 +54,18 @@
 
 std::string describe(const CallRecord &call)
 {
-    return fmt::format("call {} at router {} sent at {} ms, ended at {} ms with {}", call.attempt,
+    return fmt::format("call {} at router {} sent at {} ms, ended at {} ms with {}", call.attemptId,
                        call.router, call.sentAt.count(), call.endedAt.count(), call.status);
 }
 
 std::string wholeAnswer(const CallRecord &call)
 {
     if (call.kind != CallKind::Stream) {
-        return answerOf(call.attempt);
+        return responseBodyFor(call.attemptId);
     }
     std::string all;
-    for (std::size_t number = 1; number <= piecesOf(call.attempt); ++number) {
-        all += pieceOf(call.attempt, number);
+    for (std::size_t number = 1; number <= streamEventCount(call.attemptId); ++number) {
+        all += streamEventFor(call.attemptId, number);
     }
     return all;
 }
@@ -77,11 +78,11 @@
             continue;
         }
         const std::string expected = wholeAnswer(call);
-        const bool isWhole = call.end == CallEnd::Answered;
+        const bool isWhole = call.outcome == CallOutcome::Completed;
         if (isWhole ? call.body != expected : !expected.starts_with(call.body)) {
             found.push_back({"own-answer", describe(call) + " has another body"});
         }
-        if (isWhole && countOf(runs, call.attempt) == 0) {
+        if (isWhole && countOf(runs, call.attemptId) == 0) {
             found.push_back({"own-answer", describe(call) + " was answered and never ran"});
         }
     }
@@ -93,15 +94,15 @@
 {
     static const std::set<int> notRun{408, 421, 429, 503};
     for (const CallRecord &call : history.calls) {
-        const std::size_t count = countOf(runs, call.attempt);
-        if (call.kind == CallKind::Once && count > 1) {
+        const std::size_t count = countOf(runs, call.attemptId);
+        if (call.kind == CallKind::NonIdempotent && count > 1) {
             found.push_back({"at-most-once", describe(call) + " ran more than once"});
         }
-        if (call.kind == CallKind::Once && count > 0 && call.end == CallEnd::Answered
-            && notRun.contains(call.status)) {
+        if (call.kind == CallKind::NonIdempotent && count > 0
+            && call.outcome == CallOutcome::Completed && notRun.contains(call.status)) {
             found.push_back({"true-refusal", describe(call) + " was refused and has run"});
         }
-        if (count > bounds.mostRuns) {
+        if (count > bounds.maxRuns) {
             found.push_back({"most-runs", fmt::format("{} ran {} times", describe(call), count)});
         }
     }
@@ -111,23 +112,23 @@
 {
     std::map<std::string, std::size_t> routers;
     for (const CallRecord &call : history.calls) {
-        routers[call.attempt] = call.router;
+        routers[call.attemptId] = call.router;
     }
     for (const RunRecord &run : history.runs) {
-        const auto leaving = history.leavingSince.find(run.upstream);
-        if (leaving == history.leavingSince.end()
+        const auto leaving = history.drainingSince.find(run.upstream);
+        if (leaving == history.drainingSince.end()
             || run.arrivedAt <= leaving->second + bounds.drain) {
             continue;
         }
         const bool isExcused =
-            isHarmed(history.storeHarms, leaving->second, run.arrivedAt, bounds.recovery)
-            || isRouterHarmed(history, routers[run.attempt], leaving->second, run.arrivedAt,
+            isHarmed(history.storeFaults, leaving->second, run.arrivedAt, bounds.recovery)
+            || isRouterHarmed(history, routers[run.attemptId], leaving->second, run.arrivedAt,
                               bounds.recovery);
         if (!isExcused) {
             found.push_back(
                 {"draining", fmt::format("call {} reached {} at {} ms, which left at "
                                          "{} ms",
-                                         run.attempt, run.upstream, run.arrivedAt.count(),
+                                         run.attemptId, run.upstream, run.arrivedAt.count(),
                                          leaving->second.count())});
         }
     }
@@ -135,7 +136,8 @@
 
 bool showsVersion(const CallRecord &call)
 {
-    return call.routeVersion != 0 && call.end == CallEnd::Answered && call.status == statusOk;
+    return call.routeVersion != 0 && call.outcome == CallOutcome::Completed
+           && call.status == statusOk;
 }
 
 /// \returns the version that took the call's key away, or 0.
@@ -157,7 +159,7 @@
 /// \returns the version before which the answer must have been decided, or 0.
 std::uint64_t decidedBefore(const SoakHistory &history, const CallRecord &call)
 {
-    if (call.end != CallEnd::Answered) {
+    if (call.outcome != CallOutcome::Completed) {
         return 0;
     }
     if (call.routeVersion != 0 && call.status == statusNotFound) {
@@ -176,7 +178,7 @@
         if (version == 0) {
             continue;
         }
-        auto &first = seen[{call.router, call.lifetime}];
+        auto &first = seen[{call.router, call.incarnation}];
         const auto [entry, isNew] = first.try_emplace(version, call.endedAt);
         entry->second = std::min(entry->second, call.endedAt);
     }
@@ -185,7 +187,7 @@
         if (before == 0) {
             continue;
         }
-        for (const auto &[version, at] : seen[{call.router, call.lifetime}]) {
+        for (const auto &[version, at] : seen[{call.router, call.incarnation}]) {
             if (version >= before && at < call.sentAt) {
                 found.push_back(
                     {"no-return", fmt::format("{} was decided by a version before {}, though "
@@ -205,13 +207,13 @@
     }
     for (const CallRecord &call : history.calls) {
         const auto version = acknowledged.find(decidedBefore(history, call));
-        if (version == acknowledged.end() || call.sentAt <= version->second + bounds.config) {
+        if (version == acknowledged.end() || call.sentAt <= version->second + bounds.propagation) {
             continue;
         }
         // A harm before or at the edit excuses no longer than the store or the router takes to
         // recover from it.
         const bool isExcused =
-            isHarmed(history.storeHarms, call.sentAt, call.sentAt, bounds.recovery)
+            isHarmed(history.storeFaults, call.sentAt, call.sentAt, bounds.recovery)
             || isRouterHarmed(history, call.router, call.sentAt, call.sentAt, bounds.recovery);
         if (!isExcused) {
             found.push_back(
@@ -244,7 +246,7 @@
     std::set<std::string> arrived;
     std::vector<std::tuple<SoakTime, std::string>> arrivals;
     for (const RunRecord &run : history.runs) {
-        arrivals.emplace_back(run.arrivedAt, run.attempt);
+        arrivals.emplace_back(run.arrivedAt, run.attemptId);
     }
     std::sort(arrivals.begin(), arrivals.end());
     for (const auto &[at, attempt] : arrivals) {
@@ -275,7 +277,7 @@
 {
     for (const CallRecord &call : history.calls) {
         const auto stops = history.plannedStops.find(call.router);
-        if (call.end != CallEnd::Cut || stops == history.plannedStops.end()) {
+        if (call.outcome != CallOutcome::Truncated || stops == history.plannedStops.end()) {
             continue;
         }
         const bool isAmidStop =
@@ -283,7 +285,7 @@
                 return call.sentAt <= stop && stop <= call.endedAt;
             });
         const bool isExcused =
-            isHarmed(history.upstreamHarms, call.sentAt, call.endedAt, bounds.recovery)
+            isHarmed(history.upstreamFaults, call.sentAt, call.endedAt, bounds.recovery)
             || isRouterHarmed(history, call.router, call.sentAt, call.endedAt, bounds.recovery);
         if (isAmidStop && !isExcused) {
             found.push_back({"planned-stop", describe(call) + " was cut by a planned stop"});
@@ -296,19 +298,19 @@
                   Violations &found)
 {
     for (const CallRecord &call : history.calls) {
-        if (call.end != CallEnd::Left
+        if (call.outcome != CallOutcome::Abandoned
             || isRouterHarmed(history, call.router, call.sentAt, history.end, bounds.recovery)) {
             continue;
         }
-        const auto its = runs.find(call.attempt);
+        const auto its = runs.find(call.attemptId);
         if (its == runs.end()) {
             continue;
         }
         for (const RunRecord *run : its->second) {
             const SoakTime until = run->endedAt.value_or(history.end);
             const bool isExcused =
-                isHarmed(history.upstreamHarms, call.sentAt, until, bounds.recovery);
-            if (until > call.endedAt + bounds.afterLeaving && !isExcused) {
+                isHarmed(history.upstreamFaults, call.sentAt, until, bounds.recovery);
+            if (until > call.endedAt + bounds.cancellation && !isExcused) {
                 found.push_back({"after-leaving", describe(call) + " was worked on"});
             }
         }
@@ -321,12 +323,12 @@
 {
     std::map<std::string, std::size_t> crashes;
     for (const CallRecord &call : history.calls) {
-        if (!call.poison.empty()) {
-            crashes[call.poison] += countOf(runs, call.attempt);
+        if (!call.poisonId.empty()) {
+            crashes[call.poisonId] += countOf(runs, call.attemptId);
         }
     }
     for (const auto &[poison, count] : crashes) {
-        if (count > bounds.mostCrashes) {
+        if (count > bounds.maxCrashes) {
             found.push_back({"crasher", fmt::format("{} ran {} times", poison, count)});
         }
     }
@@ -337,15 +339,15 @@
     std::size_t asked = 0;
     std::size_t served = 0;
     for (const CallRecord &call : history.calls) {
-        const bool isOwed =
-            call.end != CallEnd::Left && call.poison.empty() && revokedBy(history, call) == 0;
-        if (call.sentAt < history.calmFrom + bounds.recovery || !isOwed) {
+        const bool isOwed = call.outcome != CallOutcome::Abandoned && call.poisonId.empty()
+                            && revokedBy(history, call) == 0;
+        if (call.sentAt < history.faultFreeFrom + bounds.recovery || !isOwed) {
             continue;
         }
         ++asked;
-        served += call.end == CallEnd::Answered && call.status == statusOk ? 1 : 0;
+        served += call.outcome == CallOutcome::Completed && call.status == statusOk ? 1 : 0;
     }
-    if (static_cast<double>(served) < bounds.calmShare * static_cast<double>(asked)) {
+    if (static_cast<double>(served) < bounds.minSuccessShare * static_cast<double>(asked)) {
         found.push_back(
             {"calm", fmt::format("{} of {} calls were served after all harm", served, asked)});
     }
@@ -353,24 +355,24 @@
 
 } // namespace
 
-std::string answerOf(std::string_view attempt)
+std::string responseBodyFor(std::string_view attempt)
 {
     return fmt::format("answer to {} {:x}", attempt, hashOf(attempt));
 }
 
-std::string pieceOf(std::string_view attempt, std::size_t number)
+std::string streamEventFor(std::string_view attempt, std::size_t number)
 {
     return fmt::format("id: {}\ndata: {} {:x}\n\n", number, attempt, hashOf(attempt, number));
 }
 
-std::size_t piecesOf(std::string_view attempt)
+std::size_t streamEventCount(std::string_view attempt)
 {
     constexpr std::size_t fewest = 3;
     constexpr std::size_t spread = 18;
     return fewest + hashOf(attempt) % spread;
 }
 
-std::vector<Violation> judge(const SoakHistory &history, const SoakBounds &bounds)
+std::vector<Violation> checkHistory(const SoakHistory &history, const SoakBounds &bounds)
 {
     Violations found;
     const RunsByAttempt runs = runsOf(history);
@@ -385,7 +387,7 @@
     checkLeaving(history, runs, bounds, found);
     checkCrashers(history, runs, bounds, found);
     checkCalm(history, bounds, found);
-    for (const std::string &end : history.ownEnds) {
+    for (const std::string &end : history.unexpectedExits) {
         found.push_back({"own-end", end});
     }
     return found;
--- a/tests/soak/link.cpp
+++ b/tests/soak/link.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-struct SoakLink::Pipe
+struct FaultyLink::Pipe
 {
     explicit Pipe(asio::io_context &context, asio::ip::tcp::socket taken)
         : client(std::move(taken))
@@ -47,34 +47,34 @@
     bool lostBytes = false;
 };
 
-SoakLink::SoakLink(asio::io_context &context, const Endpoint &from, const Endpoint &to)
+FaultyLink::FaultyLink(asio::io_context &context, const Endpoint &from, const Endpoint &to)
     : context(context)
-    , local(asio::ip::make_address(from.host), from.port)
-    , acceptor(context, this->local)
+    , listenEndpoint(asio::ip::make_address(from.host), from.port)
+    , acceptor(context, this->listenEndpoint)
     , target(asio::ip::make_address(to.host), to.port)
 {
     this->accept();
 }
 
-bool SoakLink::isSilent(bool towardsServer) const noexcept
+bool FaultyLink::isDropping(bool towardsServer) const noexcept
 {
-    switch (this->mood) {
-    case LinkMood::Open:
+    switch (this->mode) {
+    case LinkMode::Forward:
         return false;
-    case LinkMood::Silent:
+    case LinkMode::DropBoth:
         return true;
-    case LinkMood::SilentTowardsServer:
+    case LinkMode::DropToServer:
         return towardsServer;
-    case LinkMood::SilentTowardsClient:
+    case LinkMode::DropToClient:
         return !towardsServer;
     }
     return false;
 }
 
-void SoakLink::setMood(LinkMood newMood)
+void FaultyLink::setMode(LinkMode newMood)
 {
-    this->mood = newMood;
-    if (newMood != LinkMood::Open) {
+    this->mode = newMood;
+    if (newMood != LinkMode::Forward) {
         return;
     }
     // What was swallowed is gone: such a connection shows as reset, as a real one does that is
@@ -86,7 +86,7 @@
     }
 }
 
-void SoakLink::resetAll()
+void FaultyLink::resetConnections()
 {
     for (const auto &[id, weak] : this->pipes) {
         if (const auto pipe = weak.lock()) {
@@ -96,21 +96,21 @@
     this->pipes.clear();
 }
 
-void SoakLink::refuse()
+void FaultyLink::stopListening()
 {
     asio::error_code ignored;
     this->acceptor.close(ignored);
 }
 
-void SoakLink::takeAgain()
+void FaultyLink::resumeListening()
 {
     if (!this->acceptor.is_open()) {
-        this->acceptor = asio::ip::tcp::acceptor(this->context, this->local);
+        this->acceptor = asio::ip::tcp::acceptor(this->context, this->listenEndpoint);
         this->accept();
     }
 }
 
-void SoakLink::accept()
+void FaultyLink::accept()
 {
     this->acceptor.async_accept(
         [this](const asio::error_code &error, asio::ip::tcp::socket socket) {
@@ -132,7 +132,7 @@
         });
 }
 
-void SoakLink::pump(const std::shared_ptr<Pipe> &pipe, bool towardsServer)
+void FaultyLink::pump(const std::shared_ptr<Pipe> &pipe, bool towardsServer)
 {
     auto &buffer = pipe->buffers.at(towardsServer ? 0 : 1);
     pipe->from(towardsServer)
@@ -144,7 +144,7 @@
                     return;
                 }
                 const auto &read = pipe->buffers.at(towardsServer ? 0 : 1);
-                if (this->isSilent(towardsServer)) {
+                if (this->isDropping(towardsServer)) {
                     pipe->lostBytes = true;
                     this->pump(pipe, towardsServer);
                     return;
@@ -153,7 +153,7 @@
             });
 }
 
-void SoakLink::deliver(const std::shared_ptr<Pipe> &pipe, bool towardsServer, std::string bytes)
+void FaultyLink::deliver(const std::shared_ptr<Pipe> &pipe, bool towardsServer, std::string bytes)
 {
     const auto timer = std::make_shared<asio::steady_timer>(this->context, this->delay);
     const auto text = std::make_shared<std::string>(std::move(bytes));
--- a/tests/soak/link.h
+++ b/tests/soak/link.h
@@ -12,23 +12,23 @@
 namespace plantainswitch::soak {
 
 /// Which bytes a link lets through.
-enum class LinkMood : std::uint8_t { Open, Silent, SilentTowardsServer, SilentTowardsClient };
+enum class LinkMode : std::uint8_t { Forward, DropBoth, DropToServer, DropToClient };
 
 /// A proxy on loopback between a router and a server, which delays, silences, cuts one way or
 /// resets what goes through it.
-class SoakLink
+class FaultyLink
 {
 public:
-    SoakLink(asio::io_context &context, const Endpoint &from, const Endpoint &to);
+    FaultyLink(asio::io_context &context, const Endpoint &from, const Endpoint &to);
 
-    void setMood(LinkMood newMood);
+    void setMode(LinkMode newMood);
     void setDelay(Milliseconds newDelay) { this->delay = newDelay; }
     /// Resets all connections that are open.
-    void resetAll();
+    void resetConnections();
     /// Takes no connections, as the address of a process that has ended.
-    void refuse();
+    void stopListening();
     /// Takes connections again after refuse().
-    void takeAgain();
+    void resumeListening();
 
 private:
     struct Pipe;
@@ -36,15 +36,15 @@
     void accept();
     void pump(const std::shared_ptr<Pipe> &pipe, bool towardsServer);
     void deliver(const std::shared_ptr<Pipe> &pipe, bool towardsServer, std::string bytes);
-    [[nodiscard]] bool isSilent(bool towardsServer) const noexcept;
+    [[nodiscard]] bool isDropping(bool towardsServer) const noexcept;
 
     asio::io_context &context;
-    asio::ip::tcp::endpoint local;
+    asio::ip::tcp::endpoint listenEndpoint;
     asio::ip::tcp::acceptor acceptor;
     asio::ip::tcp::endpoint target;
     std::map<std::uint64_t, std::weak_ptr<Pipe>> pipes;
     std::uint64_t nextPipe = 1;
-    LinkMood mood = LinkMood::Open;
+    LinkMode mode = LinkMode::Forward;
     Milliseconds delay{0};
 };
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -27,17 +27,17 @@
 {
     std::map<std::string, std::size_t> ends;
     for (const CallRecord &call : history.calls) {
-        switch (call.end) {
-        case CallEnd::Answered:
+        switch (call.outcome) {
+        case CallOutcome::Completed:
             ++ends["status " + std::to_string(call.status)];
             break;
-        case CallEnd::NotConnected:
+        case CallOutcome::NotConnected:
             ++ends["not connected"];
             break;
-        case CallEnd::Cut:
+        case CallOutcome::Truncated:
             ++ends["cut"];
             break;
-        case CallEnd::Left:
+        case CallOutcome::Abandoned:
             ++ends["left"];
             break;
         }
@@ -54,7 +54,7 @@
 {
     SoakOptions options;
     /// Plays this plan instead of that of the seed.
-    std::optional<std::vector<HarmStep>> plan;
+    std::optional<std::vector<FaultStep>> plan;
     std::string program;
     std::filesystem::path logs;
     bool keepsLogs = false;
@@ -64,11 +64,11 @@
                 const std::filesystem::path &directory)
 {
     for (std::size_t i = 0; i < std::min(found.size(), mostPrinted); ++i) {
-        std::cout << "  " << found[i].check << ": " << found[i].what << "\n";
+        std::cout << "  " << found[i].check << ": " << found[i].description << "\n";
     }
     const SoakOptions &options = session.options;
     std::cout << "  again: plantain-soak --program PLANTAIND --seed " << options.seed
-              << " --seconds " << options.seconds << " --routers " << options.routers
+              << " --seconds " << options.faultSeconds << " --routers " << options.routers
               << " --upstreams " << options.upstreams << " --callers " << options.callers
               << " --plan " << (directory / planFile).string() << "\n  logs: " << directory.string()
               << std::endl;
@@ -81,11 +81,12 @@
         session.logs / ("seed-" + std::to_string(session.options.seed));
     std::filesystem::remove_all(directory);
     std::filesystem::create_directories(directory);
-    const std::vector<HarmStep> plan = session.plan ? *session.plan : planOf(session.options);
+    const std::vector<FaultStep> plan =
+        session.plan ? *session.plan : generatePlan(session.options);
     std::ofstream(directory / planFile) << textOf(plan);
     Soak soak(session.options, plan, session.program, directory);
-    const SoakHistory &history = soak.play();
-    const std::vector<Violation> found = judge(history, SoakBounds{});
+    const SoakHistory &history = soak.run();
+    const std::vector<Violation> found = checkHistory(history, SoakBounds{});
     std::cout << "seed " << session.options.seed << ": " << history.calls.size() << " calls, "
               << history.runs.size() << " runs, " << plan.size() << " harms, " << found.size()
               << " promises broken\n";
@@ -101,12 +102,12 @@
     return true;
 }
 
-std::optional<std::vector<HarmStep>> readPlan(const std::string &path)
+std::optional<std::vector<FaultStep>> readPlan(const std::string &path)
 {
     std::ifstream file(path);
     std::stringstream text;
     text << file.rdbuf();
-    return file ? planFrom(text.str()) : std::nullopt;
+    return file ? parsePlan(text.str()) : std::nullopt;
 }
 
 int run(int argc, char **argv)
@@ -125,14 +126,15 @@
                              "folder for settings and logs; kept for seeds that break a promise")(
         "seed", options::value(&chosen.seed)->default_value(chosen.seed), "first seed")(
         "seeds", options::value(&seeds)->default_value(seeds), "how many seeds, one after another")(
-        "seconds", options::value(&chosen.seconds)->default_value(chosen.seconds),
+        "seconds", options::value(&chosen.faultSeconds)->default_value(chosen.faultSeconds),
         "seconds with harm; about 20 of calm follow")(
         "routers", options::value(&chosen.routers)->default_value(chosen.routers), "routers")(
         "upstreams", options::value(&chosen.upstreams)->default_value(chosen.upstreams),
         "upstreams")("callers", options::value(&chosen.callers)->default_value(chosen.callers),
-                     "callers")(
-        "pause", options::value(&chosen.pauseSeconds)->default_value(chosen.pauseSeconds),
-        "mean pause between harms, in seconds")(
+                     "callers")("pause",
+                                options::value(&chosen.meanFaultIntervalSeconds)
+                                    ->default_value(chosen.meanFaultIntervalSeconds),
+                                "mean pause between harms, in seconds")(
         "plan", options::value(&plan),
         "file with the harms to play instead of the seed's own")("keep", "keep all logs");
     options::variables_map given;
@@ -147,7 +149,7 @@
         std::cerr << error.what() << "\n";
         return exitBadInput;
     }
-    if (chosen.routers == 0 || chosen.upstreams == 0 || chosen.pauseSeconds <= 0.0) {
+    if (chosen.routers == 0 || chosen.upstreams == 0 || chosen.meanFaultIntervalSeconds <= 0.0) {
         std::cerr << "routers, upstreams and the pause must be above 0\n";
         return exitBadInput;
     }
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, harmKinds> names{
+constexpr std::array<std::string_view, faultKindCount> names{
     "router-kill",         "router-pause",   "router-stop",      "router-reload",
     "all-routers-kill",    "rolling-stop",   "upstream-crash",   "upstream-dark",
     "upstream-slow",       "upstream-fails", "upstream-rejects", "upstream-loses-answers",
@@ -29,14 +29,14 @@
 class KindDeck
 {
 public:
-    HarmKind draw(std::mt19937_64 &random)
+    FaultKind draw(std::mt19937_64 &random)
     {
         if (this->left.empty()) {
-            this->left.resize(harmKinds);
+            this->left.resize(faultKindCount);
             std::iota(this->left.begin(), this->left.end(), std::size_t{0});
             std::shuffle(this->left.begin(), this->left.end(), random);
         }
-        const auto kind = static_cast<HarmKind>(this->left.back());
+        const auto kind = static_cast<FaultKind>(this->left.back());
         this->left.pop_back();
         return kind;
     }
@@ -47,44 +47,44 @@
 
 } // namespace
 
-std::string_view nameOf(HarmKind kind) noexcept
+std::string_view nameOf(FaultKind kind) noexcept
 {
     return names.at(static_cast<std::size_t>(kind));
 }
 
-std::vector<HarmStep> planOf(const SoakOptions &options)
+std::vector<FaultStep> generatePlan(const SoakOptions &options)
 {
     std::mt19937_64 random(options.seed);
-    std::exponential_distribution<double> pause(1.0 / options.pauseSeconds);
+    std::exponential_distribution<double> pause(1.0 / options.meanFaultIntervalSeconds);
     std::uniform_int_distribution<std::int64_t> spans(shortestSpan, longestSpan);
     std::uniform_real_distribution<double> strengths(0.05, 0.6);
     KindDeck deck;
-    std::vector<HarmStep> steps;
-    for (double at = 1.0 + pause(random); at < options.seconds; at += pause(random)) {
-        HarmStep step;
+    std::vector<FaultStep> steps;
+    for (double at = 1.0 + pause(random); at < options.faultSeconds; at += pause(random)) {
+        FaultStep step;
         step.at = SoakTime{static_cast<std::int64_t>(at * 1000.0)};
         step.kind = deck.draw(random);
         step.target = random();
-        step.span = Milliseconds{spans(random)};
-        step.strength = strengths(random);
+        step.duration = Milliseconds{spans(random)};
+        step.intensity = strengths(random);
         steps.push_back(step);
     }
     return steps;
 }
 
-std::string textOf(const std::vector<HarmStep> &plan)
+std::string textOf(const std::vector<FaultStep> &plan)
 {
     std::string text;
-    for (const HarmStep &step : plan) {
+    for (const FaultStep &step : plan) {
         text += fmt::format("{} {} {} {} {}\n", step.at.count(), nameOf(step.kind), step.target,
-                            step.span.count(), step.strength);
+                            step.duration.count(), step.intensity);
     }
     return text;
 }
 
-std::optional<std::vector<HarmStep>> planFrom(const std::string &text)
+std::optional<std::vector<FaultStep>> parsePlan(const std::string &text)
 {
-    std::vector<HarmStep> plan;
+    std::vector<FaultStep> plan;
     std::istringstream lines(text);
     std::string line;
     while (std::getline(lines, line)) {
@@ -95,15 +95,15 @@
         std::int64_t at = 0;
         std::int64_t span = 0;
         std::string kind;
-        HarmStep step;
-        fields >> at >> kind >> step.target >> span >> step.strength;
+        FaultStep step;
+        fields >> at >> kind >> step.target >> span >> step.intensity;
         const auto found = std::find(names.begin(), names.end(), kind);
         if (!fields || found == names.end()) {
             return std::nullopt;
         }
         step.at = SoakTime{at};
-        step.span = Milliseconds{span};
-        step.kind = static_cast<HarmKind>(found - names.begin());
+        step.duration = Milliseconds{span};
+        step.kind = static_cast<FaultKind>(found - names.begin());
         plan.push_back(step);
     }
     return plan;
--- a/tests/soak/plan.h
+++ b/tests/soak/plan.h
@@ -15,16 +15,16 @@
 {
     std::uint64_t seed = 1;
     /// Time with harm; a calm follows it.
-    double seconds = 20.0;
+    double faultSeconds = 20.0;
     std::size_t routers = 4;
     std::size_t upstreams = 8;
     std::size_t callers = 24;
     /// Mean pause between two harms.
-    double pauseSeconds = 0.5;
+    double meanFaultIntervalSeconds = 0.5;
 };
 
 /// What is done from outside.
-enum class HarmKind : std::uint8_t {
+enum class FaultKind : std::uint8_t {
     RouterKill,
     RouterPause,
     RouterStop,
@@ -32,53 +32,53 @@
     AllRoutersKill,
     RollingStop,
     UpstreamCrash,
-    UpstreamDark,
+    UpstreamUnresponsive,
     UpstreamSlow,
     UpstreamFails,
     UpstreamRejects,
-    UpstreamLosesAnswers,
-    UpstreamBreaksOff,
-    UpstreamAddsAnswers,
-    UpstreamLeaves,
+    UpstreamLosesResponses,
+    UpstreamTruncatesResponses,
+    UpstreamSendsExtraResponses,
+    UpstreamDrains,
     LinkDelay,
     LinkReset,
-    LinkSilent,
-    LinkOneWay,
-    StoreLinkSilent,
+    LinkDropsBytes,
+    LinkDropsOneWay,
+    StoreLinkDropsBytes,
     StoreLinkReset,
-    StoreSilent,
+    StoreUnresponsive,
     StoreBusy,
-    StoreResets,
+    StoreResetsConnections,
     StoreSlow,
-    StoreLosesAnswers,
+    StoreLosesResponses,
     StoreDropsHistory,
-    StoreLapses,
+    StoreRegistrationsExpire,
     NewRoute,
     RevokedKey,
-    CrashingCall,
+    PoisonCall,
 };
-inline constexpr std::size_t harmKinds = static_cast<std::size_t>(HarmKind::CrashingCall) + 1;
-[[nodiscard]] std::string_view nameOf(HarmKind kind) noexcept;
+inline constexpr std::size_t faultKindCount = static_cast<std::size_t>(FaultKind::PoisonCall) + 1;
+[[nodiscard]] std::string_view nameOf(FaultKind kind) noexcept;
 
 /// One harm: when, to whom, for how long, how strong.
-struct HarmStep
+struct FaultStep
 {
     SoakTime at{0};
-    HarmKind kind = HarmKind::RouterKill;
+    FaultKind kind = FaultKind::RouterKill;
     /// Number of the router or upstream.
     std::size_t target = 0;
-    Milliseconds span{0};
+    Milliseconds duration{0};
     /// From 0 to 1.
-    double strength = 0.0;
+    double intensity = 0.0;
 };
 
 /// \returns the steps of a soak, in order of time; equal for equal options. Kinds are drawn so that
 /// each comes up before any comes again, and overlap as they fall.
-[[nodiscard]] std::vector<HarmStep> planOf(const SoakOptions &options);
+[[nodiscard]] std::vector<FaultStep> generatePlan(const SoakOptions &options);
 
 /// \returns the plan as text, a line for each step.
-[[nodiscard]] std::string textOf(const std::vector<HarmStep> &plan);
+[[nodiscard]] std::string textOf(const std::vector<FaultStep> &plan);
 /// \returns the plan that \a text holds, or nothing when a line can't be read.
-[[nodiscard]] std::optional<std::vector<HarmStep>> planFrom(const std::string &text);
+[[nodiscard]] std::optional<std::vector<FaultStep>> parsePlan(const std::string &text);
 
 } // namespace plantainswitch::soak
--- a/tests/soak/process.cpp
+++ b/tests/soak/process.cpp
@@ -21,9 +21,9 @@
 
 RouterProcess::~RouterProcess()
 {
-    if (this->id > 0) {
+    if (this->pid > 0) {
         this->signal(SIGKILL);
-        waitpid(this->id, nullptr, 0);
+        waitpid(this->pid, nullptr, 0);
     }
 }
 
@@ -41,7 +41,7 @@
         throw std::system_error(errno, std::generic_category(), "fork");
     }
     if (started > 0) {
-        this->id = started;
+        this->pid = started;
         return;
     }
     const int output = open(this->log.c_str(), O_WRONLY | O_CREAT | O_APPEND, logMode);
@@ -56,18 +56,18 @@
 
 void RouterProcess::signal(int number)
 {
-    if (this->id > 0) {
-        kill(this->id, number);
+    if (this->pid > 0) {
+        kill(this->pid, number);
     }
 }
 
 std::optional<std::string> RouterProcess::reap()
 {
     int status = 0;
-    if (this->id <= 0 || waitpid(this->id, &status, WNOHANG) != this->id) {
+    if (this->pid <= 0 || waitpid(this->pid, &status, WNOHANG) != this->pid) {
         return std::nullopt;
     }
-    this->id = 0;
+    this->pid = 0;
     return WIFSIGNALED(status) ? fmt::format("signal {}", WTERMSIG(status))
                                : fmt::format("exit {}", WEXITSTATUS(status));
 }
--- a/tests/soak/process.h
+++ b/tests/soak/process.h
@@ -27,8 +27,8 @@
     /// Sends \a number if the process runs.
     void signal(int number);
     /// \returns the system's id of the process, above 0 while it runs.
-    [[nodiscard]] pid_t processId() const noexcept { return this->id; }
-    [[nodiscard]] bool isRunning() const noexcept { return this->id > 0; }
+    [[nodiscard]] pid_t processId() const noexcept { return this->pid; }
+    [[nodiscard]] bool isRunning() const noexcept { return this->pid > 0; }
     /// \returns how the process ended, if it has since the last call; it doesn't run any more then.
     std::optional<std::string> reap();
 
@@ -36,7 +36,7 @@
     std::string program;
     std::string settings;
     std::string log;
-    pid_t id = 0;
+    pid_t pid = 0;
 };
 
 } // namespace plantainswitch::soak
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-Soak::Soak(const SoakOptions &options, std::vector<HarmStep> plan, std::string program,
+Soak::Soak(const SoakOptions &options, std::vector<FaultStep> plan, std::string program,
            std::filesystem::path directory)
     : options(options)
     , plan(std::move(plan))
@@ -57,10 +57,10 @@
 
 SoakTime Soak::now() const
 {
-    return std::chrono::duration_cast<SoakTime>(this->clock.now() - this->begin);
+    return std::chrono::duration_cast<SoakTime>(this->clock.now() - this->startTime);
 }
 
-Endpoint Soak::at(std::size_t host, std::uint16_t port) const
+Endpoint Soak::endpointOf(std::size_t host, std::uint16_t port) const
 {
     // A net of its own for each process, so that several soaks run side by side.
     const auto process = static_cast<std::uint32_t>(getpid());
@@ -68,7 +68,7 @@
     return {fmt::format("127.{}.{}.{}", 1 + process / nets % nets, 1 + process % nets, host), port};
 }
 
-void Soak::after(Milliseconds delay, std::function<void()> work)
+void Soak::runAfter(Milliseconds delay, std::function<void()> work)
 {
     const auto timer = std::make_shared<asio::steady_timer>(this->context, delay);
     timer->async_wait([timer, work = std::move(work)](const asio::error_code &error) {
@@ -78,15 +78,15 @@
     });
 }
 
-void Soak::noteRouterHarm(std::size_t number, SoakTime from, SoakTime to)
+void Soak::recordRouterFault(std::size_t number, SoakTime from, SoakTime to)
 {
-    this->history.routerHarms[number].push_back({from, to});
+    this->history.routerFaults[number].push_back({from, to});
 }
 
 void Soak::writeConfig()
 {
-    ConfigDocument config{this->version, this->world.routeVersions, {}};
-    for (const std::string &key : this->world.keys) {
+    ConfigDocument config{this->version, this->environment.routeVersions, {}};
+    for (const std::string &key : this->environment.keys) {
         if (!this->history.revokedKeys.contains(key)) {
             config.keys.push_back(key);
         }
@@ -95,45 +95,46 @@
     this->history.versions.push_back({this->version, this->now()});
 }
 
-void Soak::announce(std::size_t slot, bool isLeaving)
+void Soak::registerUpstream(std::size_t slot, bool isLeaving)
 {
-    this->store->put("servers", this->slots[slot].upstream->name(),
-                     upstreamEntry(this->at(firstUpstreamHost + slot, linkPort),
+    this->store->put("servers", this->upstreams[slot].upstream->name(),
+                     upstreamEntry(this->endpointOf(firstUpstreamHost + slot, linkPort),
                                    slot % 2 == 0 ? "hall-a" : "hall-b", isLeaving));
 }
 
 void Soak::addUpstream()
 {
-    const std::size_t slot = this->slots.size();
-    const Endpoint own = this->at(firstUpstreamHost + slot, upstreamPort);
-    Slot made;
+    const std::size_t slot = this->upstreams.size();
+    const Endpoint own = this->endpointOf(firstUpstreamHost + slot, upstreamPort);
+    UpstreamNode made;
     made.upstream =
         std::make_unique<SoakUpstream>(this->context, this->clock, fmt::format("u-{}", slot), own,
-                                       this->options.seed + slot, this->history, this->begin);
-    made.link = std::make_unique<SoakLink>(this->context,
-                                           this->at(firstUpstreamHost + slot, linkPort), own);
+                                       this->options.seed + slot, this->history, this->startTime);
+    made.link = std::make_unique<FaultyLink>(
+        this->context, this->endpointOf(firstUpstreamHost + slot, linkPort), own);
     made.upstream->onCrash([this, slot] {
         // After the request's own turn, which still uses the upstream.
-        this->after(Milliseconds{0}, [this, slot] {
-            this->history.upstreamHarms.push_back({this->now(), this->now() + crashedSpan});
-            this->crash(slot, crashedSpan);
+        this->runAfter(Milliseconds{0}, [this, slot] {
+            this->history.upstreamFaults.push_back({this->now(), this->now() + crashedSpan});
+            this->crashUpstream(slot, crashedSpan);
         });
     });
-    this->slots.push_back(std::move(made));
-    this->serving.push_back(slot);
-    this->announce(slot, false);
+    this->upstreams.push_back(std::move(made));
+    this->activeUpstreams.push_back(slot);
+    this->registerUpstream(slot, false);
 }
 
 void Soak::addRouter(std::size_t number)
 {
     const std::size_t host = firstRouterHost + number;
     Router made;
-    made.callers = this->at(host, callersPort);
-    made.storeLink = std::make_unique<SoakLink>(this->context, this->at(host, storeLinkPort),
-                                                this->at(storeHost, storePort));
+    made.callers = this->endpointOf(host, callersPort);
+    made.storeLink =
+        std::make_unique<FaultyLink>(this->context, this->endpointOf(host, storeLinkPort),
+                                     this->endpointOf(storeHost, storePort));
     std::vector<std::string> seeds;
     for (std::size_t i = 0; i < std::min<std::size_t>(this->options.routers, 3); ++i) {
-        seeds.push_back(toText(this->at(firstRouterHost + i, peerPort)));
+        seeds.push_back(toText(this->endpointOf(firstRouterHost + i, peerPort)));
     }
     const RouterDocument settings{fmt::format("router-{}", number),
                                   number % 2 == 0 ? "hall-a" : "hall-b",
@@ -142,24 +143,24 @@
                                   datagramPort,
                                   peerPort,
                                   seeds,
-                                  this->at(host, storeLinkPort),
+                                  this->endpointOf(host, storeLinkPort),
                                   graceSeconds};
     const std::string path = this->directory / fmt::format("router-{}.json", number);
     std::ofstream(path) << textOf(settings);
     made.process = std::make_unique<RouterProcess>(
         this->program, path, this->directory / fmt::format("router-{}.log", number));
-    this->world.routers.push_back({made.callers, 0});
+    this->environment.routers.push_back({made.callers, 0});
     this->routers.push_back(std::move(made));
     this->routers.back().process->start();
 }
 
-const SoakHistory &Soak::play()
+const SoakHistory &Soak::run()
 {
-    this->begin = this->clock.now();
-    this->store = std::make_unique<SoakStore>(this->context, this->clock,
-                                              this->at(storeHost, storePort), this->options.seed);
+    this->startTime = this->clock.now();
+    this->store = std::make_unique<SoakStore>(
+        this->context, this->clock, this->endpointOf(storeHost, storePort), this->options.seed);
     for (std::size_t i = 0; i < keyCount; ++i) {
-        this->world.keys.push_back(fmt::format("key-{}", i));
+        this->environment.keys.push_back(fmt::format("key-{}", i));
     }
     this->writeConfig();
     for (std::size_t i = 0; i < this->options.upstreams; ++i) {
@@ -167,21 +168,23 @@
     }
     for (std::size_t i = 0; i < this->options.routers; ++i) {
         this->addRouter(i);
-        this->noteRouterHarm(i, SoakTime{0}, warmUp);
+        this->recordRouterFault(i, SoakTime{0}, warmUp);
     }
-    this->watchProcesses();
-    this->callers = std::make_unique<SoakCallers>(this->context, this->clock, this->world,
-                                                  this->options.seed, this->history, this->begin);
-    this->after(warmUp, [this] { this->callers->start(this->options.callers); });
-    for (const HarmStep &step : this->plan) {
-        this->after(warmUp + step.at, [this, step] { this->apply(step); });
+    this->superviseRouters();
+    this->callers =
+        std::make_unique<SoakCallers>(this->context, this->clock, this->environment,
+                                      this->options.seed, this->history, this->startTime);
+    this->runAfter(warmUp, [this] { this->callers->start(this->options.callers); });
+    for (const FaultStep &step : this->plan) {
+        this->runAfter(warmUp + step.at, [this, step] { this->injectFault(step); });
     }
-    const auto harmful = warmUp + SoakTime{static_cast<std::int64_t>(this->options.seconds * 1000)};
+    const auto harmful =
+        warmUp + SoakTime{static_cast<std::int64_t>(this->options.faultSeconds * 1000)};
     // The last harms last on for a while.
-    this->history.calmFrom = harmful + Milliseconds{4000};
-    this->after(this->history.calmFrom + calmSpan, [this] { this->callers->stop(); });
-    this->after(this->history.calmFrom + calmSpan + lastAnswers, [this] {
-        this->isOver = true;
+    this->history.faultFreeFrom = harmful + Milliseconds{4000};
+    this->runAfter(this->history.faultFreeFrom + calmSpan, [this] { this->callers->stop(); });
+    this->runAfter(this->history.faultFreeFrom + calmSpan + lastAnswers, [this] {
+        this->isFinished = true;
         this->context.stop();
     });
     this->context.run();
@@ -189,49 +192,50 @@
     return this->history;
 }
 
-void Soak::apply(const HarmStep &step)
+void Soak::injectFault(const FaultStep &step)
 {
     const std::size_t router = step.target % this->routers.size();
-    const std::size_t slot = this->serving[step.target % this->serving.size()];
-    if (step.kind <= HarmKind::RollingStop) {
-        this->harmRouter(step, router);
-    } else if (step.kind <= HarmKind::UpstreamLeaves) {
-        this->harmUpstream(step, slot);
-    } else if (step.kind <= HarmKind::LinkOneWay) {
-        this->harmLink(step, slot);
-    } else if (step.kind <= HarmKind::StoreLapses) {
-        this->harmStore(step, router);
+    const std::size_t slot = this->activeUpstreams[step.target % this->activeUpstreams.size()];
+    if (step.kind <= FaultKind::RollingStop) {
+        this->injectRouterFault(step, router);
+    } else if (step.kind <= FaultKind::UpstreamDrains) {
+        this->injectUpstreamFault(step, slot);
+    } else if (step.kind <= FaultKind::LinkDropsOneWay) {
+        this->injectLinkFault(step, slot);
+    } else if (step.kind <= FaultKind::StoreRegistrationsExpire) {
+        this->injectStoreFault(step, router);
     } else {
-        this->changeConfig(step);
+        this->applyConfigOrCallStep(step);
     }
 }
 
-void Soak::harmRouter(const HarmStep &step, std::size_t number)
+void Soak::injectRouterFault(const FaultStep &step, std::size_t number)
 {
     Router &router = this->routers[number];
     switch (step.kind) {
-    case HarmKind::RouterKill:
-        this->killRouter(number, step.span);
+    case FaultKind::RouterKill:
+        this->killRouter(number, step.duration);
         return;
-    case HarmKind::RouterPause:
+    case FaultKind::RouterPause:
         router.process->signal(SIGSTOP);
-        this->noteRouterHarm(number, this->now(), this->now() + step.span);
-        this->after(step.span, [this, number] { this->routers[number].process->signal(SIGCONT); });
+        this->recordRouterFault(number, this->now(), this->now() + step.duration);
+        this->runAfter(step.duration,
+                       [this, number] { this->routers[number].process->signal(SIGCONT); });
         return;
-    case HarmKind::RouterStop:
+    case FaultKind::RouterStop:
         this->stopRouter(number);
         return;
-    case HarmKind::RouterReload:
+    case FaultKind::RouterReload:
         router.process->signal(SIGHUP);
         return;
-    case HarmKind::AllRoutersKill:
+    case FaultKind::AllRoutersKill:
         for (std::size_t each = 0; each < this->routers.size(); ++each) {
-            this->killRouter(each, step.span / 2);
+            this->killRouter(each, step.duration / 2);
         }
         return;
     default:
         for (std::size_t each = 0; each < this->routers.size(); ++each) {
-            this->after(step.span * each, [this, each] { this->stopRouter(each); });
+            this->runAfter(step.duration * each, [this, each] { this->stopRouter(each); });
         }
         return;
     }
@@ -243,19 +247,19 @@
     if (!router.process->isRunning()) {
         return;
     }
-    router.isEndExpected = true;
+    router.isExitExpected = true;
     router.process->signal(SIGKILL);
-    this->noteRouterHarm(number, this->now(), this->now() + down);
-    this->after(down, [this, number] { this->restartRouter(number); });
+    this->recordRouterFault(number, this->now(), this->now() + down);
+    this->runAfter(down, [this, number] { this->restartRouter(number); });
 }
 
 void Soak::stopRouter(std::size_t number)
 {
     Router &router = this->routers[number];
-    if (!router.process->isRunning() || router.isEndExpected) {
+    if (!router.process->isRunning() || router.isExitExpected) {
         return;
     }
-    router.isEndExpected = true;
+    router.isExitExpected = true;
     router.isStopping = true;
     this->history.plannedStops[number].push_back(this->now());
     router.process->signal(SIGTERM);
@@ -264,16 +268,16 @@
 void Soak::restartRouter(std::size_t number)
 {
     Router &router = this->routers[number];
-    if (this->isOver || router.process->isRunning()) {
+    if (this->isFinished || router.process->isRunning()) {
         return;
     }
-    router.isEndExpected = false;
+    router.isExitExpected = false;
     router.isStopping = false;
-    this->world.routers[number].lifetime += 1;
+    this->environment.routers[number].incarnation += 1;
     router.process->start();
 }
 
-void Soak::watchProcesses()
+void Soak::superviseRouters()
 {
     for (std::size_t number = 0; number < this->routers.size(); ++number) {
         Router &router = this->routers[number];
@@ -281,178 +285,183 @@
         if (!end) {
             continue;
         }
-        if (!router.isEndExpected
+        if (!router.isExitExpected
             || (router.isStopping && *end != "exit 0" && !end->starts_with("signal 9"))) {
-            this->history.ownEnds.push_back(
+            this->history.unexpectedExits.push_back(
                 fmt::format("router {} ended with {} at {} ms", number, *end, this->now().count()));
         }
-        const bool isHandled = router.isEndExpected && !router.isStopping;
+        const bool isHandled = router.isExitExpected && !router.isStopping;
         if (!isHandled) {
-            this->noteRouterHarm(number, this->now(), this->now() + watchPause);
+            this->recordRouterFault(number, this->now(), this->now() + watchPause);
             this->restartRouter(number);
         }
     }
-    this->after(watchPause, [this] { this->watchProcesses(); });
+    this->runAfter(watchPause, [this] { this->superviseRouters(); });
 }
 
-void Soak::harmUpstream(const HarmStep &step, std::size_t slot)
+void Soak::injectUpstreamFault(const FaultStep &step, std::size_t slot)
 {
-    SoakUpstream &upstream = *this->slots[slot].upstream;
-    if (step.kind == HarmKind::UpstreamLeaves) {
-        this->leave(slot);
+    SoakUpstream &upstream = *this->upstreams[slot].upstream;
+    if (step.kind == FaultKind::UpstreamDrains) {
+        this->drainUpstream(slot);
         return;
     }
-    this->history.upstreamHarms.push_back({this->now(), this->now() + step.span});
-    if (step.kind == HarmKind::UpstreamCrash) {
-        this->crash(slot, step.span);
+    this->history.upstreamFaults.push_back({this->now(), this->now() + step.duration});
+    if (step.kind == FaultKind::UpstreamCrash) {
+        this->crashUpstream(slot, step.duration);
         return;
     }
     UpstreamFaults faults;
-    faults.isDark = step.kind == HarmKind::UpstreamDark;
-    faults.slowness = step.kind == HarmKind::UpstreamSlow ? 1.0 + 15.0 * step.strength : 1.0;
-    faults.fail = step.kind == HarmKind::UpstreamFails ? step.strength : 0.0;
-    faults.reject = step.kind == HarmKind::UpstreamRejects ? step.strength : 0.0;
-    faults.loseAnswer = step.kind == HarmKind::UpstreamLosesAnswers ? step.strength : 0.0;
-    faults.breakOff = step.kind == HarmKind::UpstreamBreaksOff ? step.strength : 0.0;
-    faults.extraAnswer = step.kind == HarmKind::UpstreamAddsAnswers ? step.strength : 0.0;
+    faults.isUnresponsive = step.kind == FaultKind::UpstreamUnresponsive;
+    faults.slowdownFactor =
+        step.kind == FaultKind::UpstreamSlow ? 1.0 + 15.0 * step.intensity : 1.0;
+    faults.errorShare = step.kind == FaultKind::UpstreamFails ? step.intensity : 0.0;
+    faults.rejectShare = step.kind == FaultKind::UpstreamRejects ? step.intensity : 0.0;
+    faults.lostResponseShare =
+        step.kind == FaultKind::UpstreamLosesResponses ? step.intensity : 0.0;
+    faults.truncatedResponseShare =
+        step.kind == FaultKind::UpstreamTruncatesResponses ? step.intensity : 0.0;
+    faults.extraResponseShare =
+        step.kind == FaultKind::UpstreamSendsExtraResponses ? step.intensity : 0.0;
     upstream.setFaults(faults);
-    this->after(step.span, [&upstream] { upstream.setFaults({}); });
+    this->runAfter(step.duration, [&upstream] { upstream.setFaults({}); });
 }
 
-void Soak::crash(std::size_t slot, Milliseconds down)
+void Soak::crashUpstream(std::size_t slot, Milliseconds down)
 {
-    this->slots[slot].upstream->crash();
-    this->slots[slot].link->refuse();
-    this->after(down, [this, slot] {
-        this->slots[slot].upstream->restart();
-        this->slots[slot].link->takeAgain();
+    this->upstreams[slot].upstream->crash();
+    this->upstreams[slot].link->stopListening();
+    this->runAfter(down, [this, slot] {
+        this->upstreams[slot].upstream->restart();
+        this->upstreams[slot].link->resumeListening();
     });
 }
 
-void Soak::leave(std::size_t slot)
+void Soak::drainUpstream(std::size_t slot)
 {
-    if (this->slots.size() >= mostUpstreams) {
+    if (this->upstreams.size() >= mostUpstreams) {
         return;
     }
     // The new one serves before the old one leaves.
     this->addUpstream();
-    std::erase(this->serving, slot);
-    this->announce(slot, true);
-    this->history.leavingSince[this->slots[slot].upstream->name()] = this->now();
-    this->after(leavingSpan, [this, slot] {
-        this->store->remove("servers", this->slots[slot].upstream->name());
-        this->slots[slot].upstream->crash();
-        this->slots[slot].link->refuse();
+    std::erase(this->activeUpstreams, slot);
+    this->registerUpstream(slot, true);
+    this->history.drainingSince[this->upstreams[slot].upstream->name()] = this->now();
+    this->runAfter(leavingSpan, [this, slot] {
+        this->store->remove("servers", this->upstreams[slot].upstream->name());
+        this->upstreams[slot].upstream->crash();
+        this->upstreams[slot].link->stopListening();
     });
 }
 
-void Soak::harmLink(const HarmStep &step, std::size_t slot)
+void Soak::injectLinkFault(const FaultStep &step, std::size_t slot)
 {
-    SoakLink &link = *this->slots[slot].link;
-    this->history.upstreamHarms.push_back({this->now(), this->now() + step.span});
+    FaultyLink &link = *this->upstreams[slot].link;
+    this->history.upstreamFaults.push_back({this->now(), this->now() + step.duration});
     switch (step.kind) {
-    case HarmKind::LinkDelay:
-        link.setDelay(Milliseconds{static_cast<std::int64_t>(300 * step.strength)});
-        this->after(step.span, [&link] { link.setDelay(Milliseconds{0}); });
+    case FaultKind::LinkDelay:
+        link.setDelay(Milliseconds{static_cast<std::int64_t>(300 * step.intensity)});
+        this->runAfter(step.duration, [&link] { link.setDelay(Milliseconds{0}); });
         return;
-    case HarmKind::LinkReset:
-        link.resetAll();
+    case FaultKind::LinkReset:
+        link.resetConnections();
         return;
-    case HarmKind::LinkSilent:
-        link.setMood(LinkMood::Silent);
+    case FaultKind::LinkDropsBytes:
+        link.setMode(LinkMode::DropBoth);
         break;
     default:
-        link.setMood(step.target % 2 == 0 ? LinkMood::SilentTowardsServer
-                                          : LinkMood::SilentTowardsClient);
+        link.setMode(step.target % 2 == 0 ? LinkMode::DropToServer : LinkMode::DropToClient);
         break;
     }
-    this->after(step.span, [&link] { link.setMood(LinkMood::Open); });
+    this->runAfter(step.duration, [&link] { link.setMode(LinkMode::Forward); });
 }
 
-void Soak::harmStore(const HarmStep &step, std::size_t router)
+void Soak::injectStoreFault(const FaultStep &step, std::size_t router)
 {
-    SoakLink &link = *this->routers[router].storeLink;
-    if (step.kind == HarmKind::StoreLinkSilent || step.kind == HarmKind::StoreLinkReset) {
-        this->noteRouterHarm(router, this->now(), this->now() + step.span);
-        link.resetAll();
-        if (step.kind == HarmKind::StoreLinkSilent) {
-            link.setMood(LinkMood::Silent);
-            this->after(step.span, [&link] { link.setMood(LinkMood::Open); });
+    FaultyLink &link = *this->routers[router].storeLink;
+    if (step.kind == FaultKind::StoreLinkDropsBytes || step.kind == FaultKind::StoreLinkReset) {
+        this->recordRouterFault(router, this->now(), this->now() + step.duration);
+        link.resetConnections();
+        if (step.kind == FaultKind::StoreLinkDropsBytes) {
+            link.setMode(LinkMode::DropBoth);
+            this->runAfter(step.duration, [&link] { link.setMode(LinkMode::Forward); });
         }
         return;
     }
-    this->history.storeHarms.push_back({this->now(), this->now() + step.span});
+    this->history.storeFaults.push_back({this->now(), this->now() + step.duration});
     switch (step.kind) {
-    case HarmKind::StoreDropsHistory:
+    case FaultKind::StoreDropsHistory:
         this->store->dropHistory();
         return;
-    case HarmKind::StoreLapses:
-        this->lapse(step);
+    case FaultKind::StoreRegistrationsExpire:
+        this->expireRegistrations(step);
         return;
-    case HarmKind::StoreSlow:
-        this->store->setDelay(Milliseconds{static_cast<std::int64_t>(800 * step.strength)});
+    case FaultKind::StoreSlow:
+        this->store->setDelay(Milliseconds{static_cast<std::int64_t>(800 * step.intensity)});
         break;
-    case HarmKind::StoreLosesAnswers:
-        this->store->setLoss(step.strength);
+    case FaultKind::StoreLosesResponses:
+        this->store->setLossShare(step.intensity);
         break;
-    case HarmKind::StoreSilent:
-        this->store->setMood(StoreMood::Silent);
-        this->after(step.span + editDelay, [this, step] { this->edit(step.target, true); });
+    case FaultKind::StoreUnresponsive:
+        this->store->setMode(StoreMode::Unresponsive);
+        this->runAfter(step.duration + editDelay,
+                       [this, step] { this->editConfig(step.target, true); });
         break;
-    case HarmKind::StoreBusy:
-        this->store->setMood(StoreMood::Busy);
+    case FaultKind::StoreBusy:
+        this->store->setMode(StoreMode::Unavailable);
         break;
     default:
-        this->store->setMood(StoreMood::Resetting);
+        this->store->setMode(StoreMode::ResetsConnections);
         break;
     }
-    this->after(step.span, [this] {
+    this->runAfter(step.duration, [this] {
         this->store->setDelay(Milliseconds{0});
-        this->store->setLoss(0.0);
-        this->store->setMood(StoreMood::Well);
+        this->store->setLossShare(0.0);
+        this->store->setMode(StoreMode::Healthy);
     });
 }
 
-void Soak::lapse(const HarmStep &step)
+void Soak::expireRegistrations(const FaultStep &step)
 {
-    this->store->setMood(StoreMood::Busy);
-    const std::vector<std::size_t> lapsed = this->serving;
+    this->store->setMode(StoreMode::Unavailable);
+    const std::vector<std::size_t> lapsed = this->activeUpstreams;
     for (const std::size_t slot : lapsed) {
-        this->store->remove("servers", this->slots[slot].upstream->name());
+        this->store->remove("servers", this->upstreams[slot].upstream->name());
     }
-    this->after(step.span, [this] { this->store->setMood(StoreMood::Well); });
+    this->runAfter(step.duration, [this] { this->store->setMode(StoreMode::Healthy); });
     constexpr Milliseconds renewal{1200};
-    this->history.storeHarms.push_back({this->now(), this->now() + step.span + renewal});
-    this->after(step.span + renewal, [this, lapsed] {
+    this->history.storeFaults.push_back({this->now(), this->now() + step.duration + renewal});
+    this->runAfter(step.duration + renewal, [this, lapsed] {
         for (const std::size_t slot : lapsed) {
             const bool isServing =
-                std::find(this->serving.begin(), this->serving.end(), slot) != this->serving.end();
+                std::find(this->activeUpstreams.begin(), this->activeUpstreams.end(), slot)
+                != this->activeUpstreams.end();
             if (isServing) {
-                this->announce(slot, false);
+                this->registerUpstream(slot, false);
             }
         }
     });
 }
 
-void Soak::changeConfig(const HarmStep &step)
+void Soak::applyConfigOrCallStep(const FaultStep &step)
 {
-    if (step.kind == HarmKind::CrashingCall) {
-        this->callers->startCrasher(fmt::format("{}-{}", poisonBody, step.at.count()),
-                                    crasherTimes);
+    if (step.kind == FaultKind::PoisonCall) {
+        this->callers->startPoisonCaller(fmt::format("{}-{}", poisonBodyPrefix, step.at.count()),
+                                         crasherTimes);
         return;
     }
-    this->edit(step.target, step.kind == HarmKind::NewRoute);
+    this->editConfig(step.target, step.kind == FaultKind::NewRoute);
 }
 
-void Soak::edit(std::size_t choice, bool addsRoute)
+void Soak::editConfig(std::size_t choice, bool addsRoute)
 {
     this->version += 1 + choice % 3;
     if (addsRoute) {
-        this->world.routeVersions.push_back(this->version);
+        this->environment.routeVersions.push_back(this->version);
     } else {
         const std::size_t key = 1 + this->history.revokedKeys.size();
-        if (key < this->world.keys.size()) {
-            this->history.revokedKeys[this->world.keys[key]] = this->version;
+        if (key < this->environment.keys.size()) {
+            this->history.revokedKeys[this->environment.keys[key]] = this->version;
         }
     }
     this->writeConfig();
--- a/tests/soak/store.cpp
+++ b/tests/soak/store.cpp
@@ -52,7 +52,9 @@
                                     const gateway::IncomingRequest &request) {
         this->onRequest(connection, request.head.method, request.head.target, request.body);
     };
-    this->events.onGone = [this](Connection &connection) { this->watchers.erase(connection.id()); };
+    this->events.onDisconnected = [this](Connection &connection) {
+        this->watchers.erase(connection.id());
+    };
     this->events.onClosed = [this](Connection &connection) {
         this->watchers.erase(connection.id());
         this->connections.erase(connection.id());
@@ -69,7 +71,7 @@
             }
             gateway::prepareSocket(socket);
             CallerLimits limits;
-            limits.headBytes = headBytes;
+            limits.maxHeaderBytes = headBytes;
             const auto connection = std::make_shared<Connection>(
                 this->nextConnection++, std::make_shared<gateway::ByteStream>(std::move(socket)),
                 limits, this->events, this->clock);
@@ -79,40 +81,41 @@
         });
 }
 
-void SoakStore::setMood(StoreMood newMood)
+void SoakStore::setMode(StoreMode newMood)
 {
-    this->mood = newMood;
-    if (newMood == StoreMood::Silent) {
+    this->mode = newMood;
+    if (newMood == StoreMode::Unresponsive) {
         // Watches that wait are lost: their connections live, and nobody will answer them.
         this->watchers.clear();
     }
     std::vector<std::uint64_t> waiting;
     for (const auto &[id, watcher] : this->watchers) {
-        const bool isTold =
-            newMood == StoreMood::Well && !this->changesSince(watcher.kind, watcher.since).empty();
-        const bool isCut = newMood == StoreMood::Busy || newMood == StoreMood::Resetting;
+        const bool isTold = newMood == StoreMode::Healthy
+                            && !this->changesSince(watcher.kind, watcher.since).empty();
+        const bool isCut =
+            newMood == StoreMode::Unavailable || newMood == StoreMode::ResetsConnections;
         if (isTold || isCut) {
             waiting.push_back(id);
         }
     }
     for (const std::uint64_t id : waiting) {
-        this->endWatch(id, newMood != StoreMood::Well);
+        this->endWatch(id, newMood != StoreMode::Healthy);
     }
 }
 
 void SoakStore::onRequest(const std::shared_ptr<Connection> &connection, const std::string &method,
                           const std::string &target, const std::string &body)
 {
-    switch (this->mood) {
-    case StoreMood::Silent:
+    switch (this->mode) {
+    case StoreMode::Unresponsive:
         return;
-    case StoreMood::Busy:
+    case StoreMode::Unavailable:
         connection->respond(statusBusy, {}, {}, false);
         return;
-    case StoreMood::Resetting:
+    case StoreMode::ResetsConnections:
         connection->abort();
         return;
-    case StoreMood::Well:
+    case StoreMode::Healthy:
         break;
     }
     const auto timer = std::make_shared<asio::steady_timer>(this->context, this->delay);
@@ -137,7 +140,7 @@
         this->create(connection, kind, body);
         return;
     }
-    if (std::uniform_real_distribution<double>()(this->random) < this->loss) {
+    if (std::uniform_real_distribution<double>()(this->random) < this->lossShare) {
         connection->abort();
         return;
     }
@@ -170,7 +173,7 @@
 void SoakStore::watch(const std::shared_ptr<Connection> &connection, const std::string &kind,
                       std::uint64_t since)
 {
-    if (since < this->dropped) {
+    if (since < this->droppedRevision) {
         connection->respond(statusGone, {}, {}, false);
         return;
     }
@@ -228,7 +231,7 @@
     if (!isKnown) {
         this->put(kind, name, object["spec"].dump());
     }
-    if (std::uniform_real_distribution<double>()(this->random) < this->loss) {
+    if (std::uniform_real_distribution<double>()(this->random) < this->lossShare) {
         connection->abort();
         return;
     }
@@ -237,15 +240,15 @@
 
 void SoakStore::put(const std::string &kind, const std::string &name, const std::string &spec)
 {
-    this->change({0, kind, name, spec, false});
+    this->applyChange({0, kind, name, spec, false});
 }
 
 void SoakStore::remove(const std::string &kind, const std::string &name)
 {
-    this->change({0, kind, name, {}, true});
+    this->applyChange({0, kind, name, {}, true});
 }
 
-void SoakStore::change(Change made)
+void SoakStore::applyChange(Change made)
 {
     this->snapshots.push_back({this->clock.now(), this->revision, this->objects});
     made.revision = ++this->revision;
@@ -256,7 +259,7 @@
     }
     const std::string kind = made.kind;
     this->history.push_back(std::move(made));
-    if (this->mood != StoreMood::Well) {
+    if (this->mode != StoreMode::Healthy) {
         return;
     }
     std::vector<std::uint64_t> told;
@@ -273,7 +276,7 @@
 void SoakStore::dropHistory()
 {
     this->history.clear();
-    this->dropped = this->revision;
+    this->droppedRevision = this->revision;
     while (!this->watchers.empty()) {
         this->endWatch(this->watchers.begin()->first, true);
     }
--- a/tests/soak/store.h
+++ b/tests/soak/store.h
@@ -18,7 +18,7 @@
 namespace plantainswitch::soak {
 
 /// What the store does with calls.
-enum class StoreMood : std::uint8_t { Well, Silent, Busy, Resetting };
+enum class StoreMode : std::uint8_t { Healthy, Unresponsive, Unavailable, ResetsConnections };
 
 /// A stand-in of the platform's store: lists, watches and conditional-free writes of objects, and
 /// the ways in which it misbehaves.
@@ -32,10 +32,10 @@
     void put(const std::string &kind, const std::string &name, const std::string &spec);
     void remove(const std::string &kind, const std::string &name);
 
-    void setMood(StoreMood newMood);
+    void setMode(StoreMode newMood);
     void setDelay(Milliseconds newDelay) { this->delay = newDelay; }
     /// Share of the calls whose answer is lost.
-    void setLoss(double share) { this->loss = share; }
+    void setLossShare(double share) { this->lossShare = share; }
     /// Drops the history, and cuts whoever watches.
     void dropHistory();
 
@@ -86,14 +86,14 @@
                std::uint64_t since);
     void create(const std::shared_ptr<Connection> &connection, const std::string &kind,
                 const std::string &body);
-    void change(Change made);
+    void applyChange(Change made);
     [[nodiscard]] std::string changesSince(const std::string &kind, std::uint64_t since) const;
     void endWatch(std::uint64_t connection, bool isCut);
 
     asio::io_context &context;
     const Clock &clock;
     asio::ip::tcp::acceptor acceptor;
-    gateway::CallerEvents events;
+    gateway::CallerHandlers events;
     std::mt19937_64 random;
     std::map<std::uint64_t, std::shared_ptr<Connection>> connections;
     std::uint64_t nextConnection = 1;
@@ -103,11 +103,11 @@
     std::vector<Change> history;
     std::uint64_t revision = 1;
     /// Changes up to here were dropped.
-    std::uint64_t dropped = 0;
+    std::uint64_t droppedRevision = 0;
     std::map<std::uint64_t, Watcher> watchers;
-    StoreMood mood = StoreMood::Well;
+    StoreMode mode = StoreMode::Healthy;
     Milliseconds delay{0};
-    double loss = 0.0;
+    double lossShare = 0.0;
 };
 
 } // namespace plantainswitch::soak
--- a/tests/soak/upstream.cpp
+++ b/tests/soak/upstream.cpp
@@ -44,13 +44,13 @@
     , endpoint(endpoint)
     , random(seed)
     , history(history)
-    , started(begin)
+    , startTime(begin)
 {
     this->events.onRequest = [this](const std::shared_ptr<Connection> &connection,
                                     const gateway::IncomingRequest &request) {
         this->onRequest(connection, request);
     };
-    this->events.onGone = [this](Connection &connection) { this->endRun(connection.id()); };
+    this->events.onDisconnected = [this](Connection &connection) { this->endRun(connection.id()); };
     this->events.onClosed = [this](Connection &connection) {
         this->endRun(connection.id());
         this->connections.erase(connection.id());
@@ -105,19 +105,19 @@
 
 SoakTime SoakUpstream::now() const
 {
-    return std::chrono::duration_cast<SoakTime>(this->clock.now() - this->started);
+    return std::chrono::duration_cast<SoakTime>(this->clock.now() - this->startTime);
 }
 
-bool SoakUpstream::draws(double share)
+bool SoakUpstream::drawChance(double share)
 {
     return std::uniform_real_distribution<double>()(this->random) < share;
 }
 
-Milliseconds SoakUpstream::pause()
+Milliseconds SoakUpstream::drawWorkTime()
 {
     std::uniform_int_distribution<std::int64_t> work(shortestWork.count(), longestWork.count());
-    return Milliseconds{
-        static_cast<std::int64_t>(static_cast<double>(work(this->random)) * this->faults.slowness)};
+    return Milliseconds{static_cast<std::int64_t>(static_cast<double>(work(this->random))
+                                                  * this->faults.slowdownFactor)};
 }
 
 void SoakUpstream::onRequest(const std::shared_ptr<Connection> &connection,
@@ -125,113 +125,113 @@
 {
     const std::string attempt = valueOf(request.head, "X-Attempt-Id");
     const bool isMisdirected = valueOf(request.head, "X-Expect-Instance") != this->id;
-    const bool isRejected = !isMisdirected && this->draws(this->faults.reject);
+    const bool isRejected = !isMisdirected && this->drawChance(this->faults.rejectShare);
     if (isMisdirected || isRejected) {
         this->history.runs.push_back({attempt, this->id, this->now(), this->now(), true});
         connection->respond(isMisdirected ? statusMisdirected : statusFull,
                             {{"X-Attempt-Id", attempt}, {"X-Not-Executed", "1"}}, {}, false);
         return;
     }
-    this->begin(connection, request, attempt);
+    this->startRun(connection, request, attempt);
 }
 
-void SoakUpstream::begin(const std::shared_ptr<Connection> &connection,
-                         const gateway::IncomingRequest &request, const std::string &attempt)
+void SoakUpstream::startRun(const std::shared_ptr<Connection> &connection,
+                            const gateway::IncomingRequest &request, const std::string &attempt)
 {
     this->history.runs.push_back({attempt, this->id, this->now(), std::nullopt, false});
-    if (request.body.starts_with(poisonBody)) {
+    if (request.body.starts_with(poisonBodyPrefix)) {
         this->history.runs.back().endedAt = this->now();
-        this->crashed();
+        this->crashHandler();
         return;
     }
     Run run;
     run.connection = connection;
-    run.record = this->history.runs.size() - 1;
-    run.attempt = attempt;
+    run.recordIndex = this->history.runs.size() - 1;
+    run.attemptId = attempt;
     run.isStream = request.head.target.starts_with("/stream/");
-    run.nextPiece = resumeAfter(request.head) + 1;
+    run.nextEvent = resumeAfter(request.head) + 1;
     run.timer = std::make_unique<asio::steady_timer>(this->context);
-    run.breaksOff = this->draws(this->faults.breakOff);
-    run.losesAnswer = this->draws(this->faults.loseAnswer);
-    run.fails = this->draws(this->faults.fail);
-    run.addsAnswer = this->draws(this->faults.extraAnswer);
+    run.truncatesResponse = this->drawChance(this->faults.truncatedResponseShare);
+    run.losesResponse = this->drawChance(this->faults.lostResponseShare);
+    run.fails = this->drawChance(this->faults.errorShare);
+    run.sendsExtraResponse = this->drawChance(this->faults.extraResponseShare);
     this->runs[connection->id()] = std::move(run);
-    if (!this->faults.isDark) {
-        this->step(connection->id());
+    if (!this->faults.isUnresponsive) {
+        this->scheduleStep(connection->id());
     }
 }
 
-void SoakUpstream::step(std::uint64_t connection)
+void SoakUpstream::scheduleStep(std::uint64_t connection)
 {
     Run &run = this->runs.at(connection);
-    run.timer->expires_after(this->pause());
+    run.timer->expires_after(this->drawWorkTime());
     run.timer->async_wait([this, connection](const asio::error_code &error) {
         const auto found = this->runs.find(connection);
         if (error || found == this->runs.end()) {
             return;
         }
-        if (found->second.losesAnswer) {
+        if (found->second.losesResponse) {
             const auto held = found->second.connection;
             this->endRun(connection);
             held->abort();
             return;
         }
         if (found->second.isStream && !found->second.fails) {
-            this->nextPiece(connection);
+            this->sendNextEvent(connection);
         } else {
-            this->answer(connection);
+            this->sendResponse(connection);
         }
     });
 }
 
-void SoakUpstream::answer(std::uint64_t connection)
+void SoakUpstream::sendResponse(std::uint64_t connection)
 {
     const Run run = std::move(this->runs.at(connection));
     this->endRun(connection);
-    const std::string body = answerOf(run.attempt);
-    if (run.breaksOff) {
-        run.connection->beginChunks(statusOk, answerFields(run.attempt), false);
+    const std::string body = responseBodyFor(run.attemptId);
+    if (run.truncatesResponse) {
+        run.connection->startChunked(statusOk, answerFields(run.attemptId), false);
         run.connection->writeChunk(std::string_view(body).substr(0, body.size() / 2));
-        this->breakOff(run.connection);
+        this->truncateResponse(run.connection);
         return;
     }
-    run.connection->respond(run.fails ? statusFailed : statusOk, answerFields(run.attempt),
+    run.connection->respond(run.fails ? statusFailed : statusOk, answerFields(run.attemptId),
                             run.fails ? std::string_view("failed") : std::string_view(body), false);
-    if (run.addsAnswer) {
-        run.connection->respond(statusOk, answerFields("nobody"), answerOf("nobody"), false);
+    if (run.sendsExtraResponse) {
+        run.connection->respond(statusOk, answerFields("nobody"), responseBodyFor("nobody"), false);
     }
 }
 
-void SoakUpstream::nextPiece(std::uint64_t connection)
+void SoakUpstream::sendNextEvent(std::uint64_t connection)
 {
     Run &run = this->runs.at(connection);
     const auto held = run.connection;
-    const std::size_t last = piecesOf(run.attempt);
-    if (!run.hasBegun) {
-        run.hasBegun = true;
-        auto fields = answerFields(run.attempt);
+    const std::size_t last = streamEventCount(run.attemptId);
+    if (!run.headersSent) {
+        run.headersSent = true;
+        auto fields = answerFields(run.attemptId);
         fields.push_back({"Content-Type", "text/event-stream"});
-        held->beginChunks(statusOk, fields, false);
+        held->startChunked(statusOk, fields, false);
     }
-    if (run.nextPiece > last) {
+    if (run.nextEvent > last) {
         this->endRun(connection);
-        held->endChunks();
+        held->finishChunked();
         return;
     }
-    const std::string piece = pieceOf(run.attempt, run.nextPiece);
-    if (run.breaksOff && run.nextPiece > last / 2) {
+    const std::string piece = streamEventFor(run.attemptId, run.nextEvent);
+    if (run.truncatesResponse && run.nextEvent > last / 2) {
         // In the middle of a piece.
         held->writeChunk(std::string_view(piece).substr(0, piece.size() / 2));
         this->endRun(connection);
-        this->breakOff(held);
+        this->truncateResponse(held);
         return;
     }
     held->writeChunk(piece);
-    run.nextPiece += 1;
-    this->step(connection);
+    run.nextEvent += 1;
+    this->scheduleStep(connection);
 }
 
-void SoakUpstream::breakOff(const std::shared_ptr<Connection> &connection)
+void SoakUpstream::truncateResponse(const std::shared_ptr<Connection> &connection)
 {
     const auto timer = std::make_shared<asio::steady_timer>(this->context, shortestWork);
     timer->async_wait([timer, connection](const asio::error_code &error) {
@@ -247,7 +247,7 @@
     if (found == this->runs.end()) {
         return;
     }
-    this->history.runs[found->second.record].endedAt = this->now();
+    this->history.runs[found->second.recordIndex].endedAt = this->now();
     this->runs.erase(found);
 }
 
--- a/tests/soak/upstream.h
+++ b/tests/soak/upstream.h
@@ -21,19 +21,19 @@
 struct UpstreamFaults
 {
     /// Answered with a failure of its own.
-    double fail = 0.0;
+    double errorShare = 0.0;
     /// Turned away unrun.
-    double reject = 0.0;
+    double rejectShare = 0.0;
     /// Run, then the connection is reset without an answer.
-    double loseAnswer = 0.0;
+    double lostResponseShare = 0.0;
     /// The answer is broken off in its middle.
-    double breakOff = 0.0;
+    double truncatedResponseShare = 0.0;
     /// A second answer, to nobody, comes after the right one.
-    double extraAnswer = 0.0;
+    double extraResponseShare = 0.0;
     /// How many times longer than usual it works.
-    double slowness = 1.0;
+    double slowdownFactor = 1.0;
     /// Takes requests and answers none.
-    bool isDark = false;
+    bool isUnresponsive = false;
 };
 
 /// A stand-in of an upstream, which notes each run in the soak's history.
@@ -46,7 +46,7 @@
 
     void setFaults(const UpstreamFaults &newFaults) { this->faults = newFaults; }
     /// \a newCrashed hears when a request has crashed the upstream; it is down from then on.
-    void onCrash(std::function<void()> newCrashed) { this->crashed = std::move(newCrashed); }
+    void onCrash(std::function<void()> newCrashed) { this->crashHandler = std::move(newCrashed); }
     /// Ends all connections and refuses new ones.
     void crash();
     /// Serves again after a crash.
@@ -61,32 +61,32 @@
     struct Run
     {
         std::shared_ptr<Connection> connection;
-        std::size_t record = 0;
-        std::string attempt;
+        std::size_t recordIndex = 0;
+        std::string attemptId;
         bool isStream = false;
-        bool hasBegun = false;
-        std::size_t nextPiece = 1;
+        bool headersSent = false;
+        std::size_t nextEvent = 1;
         std::unique_ptr<asio::steady_timer> timer;
-        bool breaksOff = false;
-        bool losesAnswer = false;
+        bool truncatesResponse = false;
+        bool losesResponse = false;
         bool fails = false;
-        bool addsAnswer = false;
+        bool sendsExtraResponse = false;
     };
 
     void accept();
     void onRequest(const std::shared_ptr<Connection> &connection,
                    const gateway::IncomingRequest &request);
-    void begin(const std::shared_ptr<Connection> &connection,
-               const gateway::IncomingRequest &request, const std::string &attempt);
-    void step(std::uint64_t connection);
-    void answer(std::uint64_t connection);
-    void nextPiece(std::uint64_t connection);
+    void startRun(const std::shared_ptr<Connection> &connection,
+                  const gateway::IncomingRequest &request, const std::string &attempt);
+    void scheduleStep(std::uint64_t connection);
+    void sendResponse(std::uint64_t connection);
+    void sendNextEvent(std::uint64_t connection);
     /// Breaks the answer off once what was written has left.
-    void breakOff(const std::shared_ptr<Connection> &connection);
+    void truncateResponse(const std::shared_ptr<Connection> &connection);
     void endRun(std::uint64_t connection);
-    [[nodiscard]] bool draws(double share);
+    [[nodiscard]] bool drawChance(double share);
     [[nodiscard]] SoakTime now() const;
-    [[nodiscard]] Milliseconds pause();
+    [[nodiscard]] Milliseconds drawWorkTime();
 
     asio::io_context &context;
     const Clock &clock;
@@ -94,11 +94,11 @@
     Endpoint endpoint;
     std::mt19937_64 random;
     SoakHistory &history;
-    TimePoint started;
+    TimePoint startTime;
     std::optional<asio::ip::tcp::acceptor> acceptor;
-    gateway::CallerEvents events;
+    gateway::CallerHandlers events;
     UpstreamFaults faults;
-    std::function<void()> crashed;
+    std::function<void()> crashHandler;
     std::map<std::uint64_t, std::shared_ptr<Connection>> connections;
     std::uint64_t nextConnection = 1;
     /// By connection.
--- a/tests/soak/weight.cpp
+++ b/tests/soak/weight.cpp
@@ -102,7 +102,7 @@
         }
         RouterDocument settings;
         settings.id = "router-0";
-        settings.place = "hall-a";
+        settings.dataCentre = "hall-a";
         settings.callers = at(routerHost, callersPort);
         settings.readinessPort = readinessPort;
         settings.datagramPort = datagramPort;
@@ -179,7 +179,7 @@
     void setSlowness(double slowness)
     {
         UpstreamFaults faults;
-        faults.slowness = slowness;
+        faults.slowdownFactor = slowness;
         for (const auto &upstream : this->upstreams) {
             upstream->setFaults(faults);
         }
@@ -196,16 +196,16 @@
             bool isOver = false;
             const auto connection =
                 std::make_shared<gateway::UpstreamConnection>(this->context, this->clock);
-            connection->open(at(routerHost, readinessPort), connectLimit,
-                             "GET /readiness HTTP/1.1\r\nHost: h\r\n\r\n",
-                             {[&status](const gateway::MessageHead &head) {
-                                  status = head.status;
-                                  return true;
-                              },
-                              [](std::string_view) {},
-                              [&isOver](gateway::AnswerEnd) { isOver = true; }});
+            connection->connectAndSend(at(routerHost, readinessPort), connectLimit,
+                                       "GET /readiness HTTP/1.1\r\nHost: h\r\n\r\n",
+                                       {[&status](const gateway::MessageHead &head) {
+                                            status = head.status;
+                                            return true;
+                                        },
+                                        [](std::string_view) {},
+                                        [&isOver](gateway::ResponseOutcome) { isOver = true; }});
             this->runUntil([&isOver] { return isOver; });
-            connection->drop();
+            connection->abort();
         }
         return std::chrono::duration_cast<Milliseconds>(this->clock.now() - begin);
     }
@@ -227,17 +227,18 @@
         if (isNew) {
             connection = std::make_shared<gateway::UpstreamConnection>(this->context, this->clock);
         }
-        gateway::AnswerEvents events{
+        gateway::ResponseHandlers events{
             [](const gateway::MessageHead &) { return true; },
             [this](std::string_view) { ++this->pieces; },
-            [this, connection, done = std::move(done)](gateway::AnswerEnd) {
+            [this, connection, done = std::move(done)](gateway::ResponseOutcome) {
                 if (connection->isReusable()) {
                     this->idle.push_back(connection);
                 }
                 done();
             }};
         if (isNew) {
-            connection->open(at(routerHost, callersPort), connectLimit, bytes, std::move(events));
+            connection->connectAndSend(at(routerHost, callersPort), connectLimit, bytes,
+                                       std::move(events));
         } else {
             connection->send(bytes, std::move(events));
         }
--- a/tests/soakhistory.cpp
+++ b/tests/soakhistory.cpp
@@ -16,12 +16,12 @@
 protected:
     SoakHistoryFixture()
     {
-        this->add("a1", CallKind::Once, answerOf("a1"));
-        this->add("a2", CallKind::Idempotent, answerOf("a2"));
+        this->add("a1", CallKind::NonIdempotent, responseBodyFor("a1"));
+        this->add("a2", CallKind::Idempotent, responseBodyFor("a2"));
         this->add("a3", CallKind::Stream, this->wholeStream("a3"));
         this->history.versions.push_back({5, SoakTime{1000}});
         this->history.revokedKeys["key-5"] = 5;
-        this->history.calmFrom = SoakTime{0};
+        this->history.faultFreeFrom = SoakTime{0};
         this->history.end = SoakTime{60'000};
     }
 
@@ -29,12 +29,12 @@
                     SoakTime sentAt = SoakTime{20'000})
     {
         CallRecord call;
-        call.attempt = attempt;
+        call.attemptId = attempt;
         call.kind = kind;
         call.key = "key-0";
         call.sentAt = sentAt;
         call.endedAt = sentAt + Milliseconds{50};
-        call.end = CallEnd::Answered;
+        call.outcome = CallOutcome::Completed;
         call.status = 200;
         call.body = body;
         this->history.calls.push_back(call);
@@ -51,8 +51,8 @@
     static std::string wholeStream(const std::string &attempt)
     {
         std::string all;
-        for (std::size_t number = 1; number <= piecesOf(attempt); ++number) {
-            all += pieceOf(attempt, number);
+        for (std::size_t number = 1; number <= streamEventCount(attempt); ++number) {
+            all += streamEventFor(attempt, number);
         }
         return all;
     }
@@ -61,7 +61,7 @@
     [[nodiscard]] std::vector<std::string> broken() const
     {
         std::vector<std::string> checks;
-        for (const Violation &violation : judge(this->history, SoakBounds{})) {
+        for (const Violation &violation : checkHistory(this->history, SoakBounds{})) {
             if (checks.empty() || checks.back() != violation.check) {
                 checks.push_back(violation.check);
             }
@@ -83,18 +83,18 @@
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_answerOfAnotherCall_isFound", "[soak]")
 {
-    this->history.calls[1].body = answerOf("a1");
+    this->history.calls[1].body = responseBodyFor("a1");
     CHECK(this->broken() == Checks{"own-answer"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_streamWithoutAPiece_isFound", "[soak]")
 {
-    this->history.calmFrom = SoakTime{50'000};
+    this->history.faultFreeFrom = SoakTime{50'000};
     CallRecord &call = this->history.calls[2];
-    call.body = pieceOf("a3", 1) + pieceOf("a3", 3);
-    call.end = CallEnd::Cut;
+    call.body = streamEventFor("a3", 1) + streamEventFor("a3", 3);
+    call.outcome = CallOutcome::Truncated;
     CHECK(this->broken() == Checks{"own-answer"});
-    call.body = pieceOf("a3", 1) + pieceOf("a3", 2);
+    call.body = streamEventFor("a3", 1) + streamEventFor("a3", 2);
     CHECK(this->broken().empty());
 }
 
@@ -139,20 +139,20 @@
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_leavingUpstreamGetsWork_isFoundUnlessHarmed",
                  "[soak]")
 {
-    this->history.leavingSince["u-0"] = SoakTime{10'000};
+    this->history.drainingSince["u-0"] = SoakTime{10'000};
     CHECK(this->broken() == Checks{"draining"});
-    this->history.storeHarms.push_back({SoakTime{12'000}, SoakTime{13'000}});
+    this->history.storeFaults.push_back({SoakTime{12'000}, SoakTime{13'000}});
     CHECK(this->broken().empty());
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_configurationGoesBack_isFound", "[soak]")
 {
-    this->add("b1", CallKind::Idempotent, answerOf("b1"), SoakTime{1500}).routeVersion = 5;
+    this->add("b1", CallKind::Idempotent, responseBodyFor("b1"), SoakTime{1500}).routeVersion = 5;
     CallRecord &later = this->add("b2", CallKind::Idempotent, {}, SoakTime{2000});
     later.routeVersion = 5;
     later.status = 404;
     CHECK(this->broken() == Checks{"no-return"});
-    later.lifetime = 1;
+    later.incarnation = 1;
     CHECK(this->broken().empty());
 }
 
@@ -160,7 +160,7 @@
 {
     this->history.calls[1].key = "key-5";
     CHECK(this->broken() == Checks{"in-force"});
-    this->history.routerHarms[0].push_back({SoakTime{18'000}, SoakTime{19'000}});
+    this->history.routerFaults[0].push_back({SoakTime{18'000}, SoakTime{19'000}});
     CHECK(this->broken().empty());
 }
 
@@ -168,32 +168,32 @@
 {
     // Guards against excusing a router for ever by a harm that came just before an edit.
     this->history.calls[1].key = "key-5";
-    this->history.storeHarms.push_back({SoakTime{500}, SoakTime{900}});
+    this->history.storeFaults.push_back({SoakTime{500}, SoakTime{900}});
     CHECK(this->broken() == Checks{"in-force"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_goodKeyRefused_isFound", "[soak]")
 {
     this->history.calls[1].status = 401;
-    this->history.calmFrom = SoakTime{50'000};
+    this->history.faultFreeFrom = SoakTime{50'000};
     CHECK(this->broken() == Checks{"known"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_plannedStopCutsACall_isFoundUnlessHarmed",
                  "[soak]")
 {
-    this->history.calmFrom = SoakTime{50'000};
-    this->history.calls[0].end = CallEnd::Cut;
+    this->history.faultFreeFrom = SoakTime{50'000};
+    this->history.calls[0].outcome = CallOutcome::Truncated;
     this->history.calls[0].status = 0;
     this->history.plannedStops[0].push_back(SoakTime{20'020});
     CHECK(this->broken() == Checks{"planned-stop"});
-    this->history.upstreamHarms.push_back({SoakTime{19'000}, SoakTime{19'500}});
+    this->history.upstreamFaults.push_back({SoakTime{19'000}, SoakTime{19'500}});
     CHECK(this->broken().empty());
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_workForACallerThatLeft_isFound", "[soak]")
 {
-    this->history.calls[0].end = CallEnd::Left;
+    this->history.calls[0].outcome = CallOutcome::Abandoned;
     this->history.runs.front().endedAt = SoakTime{30'000};
     CHECK(this->broken() == Checks{"after-leaving"});
 }
@@ -202,7 +202,7 @@
 {
     for (int i = 0; i < 12; ++i) {
         CallRecord &call = this->add("p" + std::to_string(i), CallKind::Idempotent, {});
-        call.poison = "poison-1";
+        call.poisonId = "poison-1";
         call.status = 502;
     }
     CHECK(this->broken() == Checks{"crasher"});
@@ -210,18 +210,18 @@
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_processEndsByItself_isFound", "[soak]")
 {
-    this->history.ownEnds.emplace_back("router 0 ended with signal 11");
+    this->history.unexpectedExits.emplace_back("router 0 ended with signal 11");
     CHECK(this->broken() == Checks{"own-end"});
 }
 
 TEST_CASE("soakPlan_sameSeed_givesTheSameSteps", "[soak]")
 {
     SoakOptions options;
-    options.seconds = 60;
-    const std::vector<HarmStep> first = planOf(options);
-    const std::vector<HarmStep> second = planOf(options);
+    options.faultSeconds = 60;
+    const std::vector<FaultStep> first = generatePlan(options);
+    const std::vector<FaultStep> second = generatePlan(options);
     REQUIRE(first.size() == second.size());
-    std::vector<int> kinds(harmKinds, 0);
+    std::vector<int> kinds(faultKindCount, 0);
     for (std::size_t i = 0; i < first.size(); ++i) {
         CHECK(first[i].at == second[i].at);
         CHECK(first[i].kind == second[i].kind);
@@ -232,11 +232,11 @@
 
 TEST_CASE("soakPlan_writtenAndRead_isTheSame", "[soak]")
 {
-    const std::vector<HarmStep> plan = planOf(SoakOptions{});
-    const auto read = planFrom(textOf(plan));
+    const std::vector<FaultStep> plan = generatePlan(SoakOptions{});
+    const auto read = parsePlan(textOf(plan));
     REQUIRE(read);
     REQUIRE(read->size() == plan.size());
     CHECK(textOf(*read) == textOf(plan));
-    CHECK_FALSE(planFrom("12 no-such-harm 1 2 0.5"));
-    CHECK_FALSE(planFrom("12 router-kill"));
+    CHECK_FALSE(parsePlan("12 no-such-harm 1 2 0.5"));
+    CHECK_FALSE(parsePlan("12 router-kill"));
 }
--- a/tests/storefollower.cpp
+++ b/tests/storefollower.cpp
@@ -39,18 +39,18 @@
     GatewayState state(this->context, this->clock, this->dialect, settings);
     std::optional<TimePoint> keptUntil;
     StoreFollower follower(
-        state, StoreKind::Replicas, {},
-        {[this, &keptUntil](const std::vector<StoreItem> &, TimePoint keepUntil) {
+        state, StoreObjectKind::Replicas, {},
+        {[this, &keptUntil](const std::vector<StoreObject> &, TimePoint keepUntil) {
              keptUntil = keepUntil;
              this->context.stop();
          },
-         [](const std::vector<StoreItem> &, TimePoint) {},
+         [](const std::vector<StoreObject> &, TimePoint) {},
          {}});
     const TimePoint begun = this->clock.now();
     follower.start();
     this->context.run_for(std::chrono::seconds{20});
     REQUIRE(keptUntil);
-    CHECK(*keptUntil > begun + missingGrace);
+    CHECK(*keptUntil > begun + missingGracePeriod);
     follower.stop();
 }
 
@@ -68,7 +68,7 @@
         while (const auto request = connection.read()) {
             targets.push_back(request->head.target);
             if (targets.size() == 2) {
-                heardAmid = asked->position();
+                heardAmid = asked->revision();
                 connection.send("HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
@@ -84,14 +84,14 @@
     settings.store = store.endpoint();
     GatewayState state(this->context, this->clock, this->dialect, settings);
     std::vector<std::string> listed;
-    StoreFollower follower(state, StoreKind::Replicas, {},
-                           {[this, &listed](const std::vector<StoreItem> &items, TimePoint) {
-                                for (const StoreItem &item : items) {
+    StoreFollower follower(state, StoreObjectKind::Replicas, {},
+                           {[this, &listed](const std::vector<StoreObject> &items, TimePoint) {
+                                for (const StoreObject &item : items) {
                                     listed.push_back(item.name);
                                 }
                                 this->context.stop();
                             },
-                            [](const std::vector<StoreItem> &, TimePoint) {},
+                            [](const std::vector<StoreObject> &, TimePoint) {},
                             {}});
     asked = &follower;
     follower.start();
@@ -101,7 +101,7 @@
     CHECK(targets[1] == targets[2]);
     CHECK(heardAmid == 0);
     // What changed since the first page came is heard by watching from there.
-    CHECK(follower.position() == 12);
+    CHECK(follower.revision() == 12);
     follower.stop();
 }
 
@@ -125,9 +125,10 @@
     settings.store = store.endpoint();
     GatewayState state(this->context, this->clock, this->dialect, settings);
     constexpr Milliseconds interval{500};
-    StoreFollower follower(state, StoreKind::Replicas, {interval, 60 * interval, Milliseconds{0}},
-                           {[](const std::vector<StoreItem> &, TimePoint) {},
-                            [](const std::vector<StoreItem> &, TimePoint) {},
+    StoreFollower follower(state, StoreObjectKind::Replicas,
+                           {interval, 60 * interval, Milliseconds{0}},
+                           {[](const std::vector<StoreObject> &, TimePoint) {},
+                            [](const std::vector<StoreObject> &, TimePoint) {},
                             {}});
     follower.start();
     this->context.run_for(interval / 2);
@@ -136,7 +137,7 @@
     for (int look = 0; look < looks; ++look) {
         this->context.restart();
         this->context.run_for(interval / 10);
-        follower.checkConfirmed({});
+        follower.checkConfirmation({});
     }
     CHECK(watches >= 2);
     CHECK(watches <= 8);
@@ -159,28 +160,30 @@
     settings.store = store.endpoint();
     GatewayState state(this->context, this->clock, this->dialect, settings);
     int lists = 0;
-    StoreFollower follower(state, StoreKind::Replicas, {},
-                           {[this, &lists](const std::vector<StoreItem> &, TimePoint) {
+    StoreFollower follower(state, StoreObjectKind::Replicas, {},
+                           {[this, &lists](const std::vector<StoreObject> &, TimePoint) {
                                 ++lists;
                                 this->context.stop();
                             },
-                            [](const std::vector<StoreItem> &, TimePoint) {},
+                            [](const std::vector<StoreObject> &, TimePoint) {},
                             {}});
     follower.start(ReadConsistency::Stale);
     this->context.run_for(std::chrono::seconds{20});
     CHECK(lists == 1);
-    CHECK(follower.position() == 0);
-    CHECK(follower.newestChange() == 0);
-    CHECK(state.followed.at(StoreKind::Replicas).confirmedAt == TimePoint{});
+    CHECK(follower.revision() == 0);
+    CHECK(follower.latestChange() == 0);
+    CHECK(state.syncStates.at(StoreObjectKind::Replicas).confirmedAt == TimePoint{});
     this->context.restart();
     follower.resume();
     this->context.run_for(std::chrono::seconds{20});
     CHECK(lists == 2);
-    CHECK(follower.position() == 12);
-    CHECK(state.followed.at(StoreKind::Replicas).confirmedAt > TimePoint{});
+    CHECK(follower.revision() == 12);
+    CHECK(state.syncStates.at(StoreObjectKind::Replicas).confirmedAt > TimePoint{});
     REQUIRE(targets.size() >= 2);
-    CHECK(targets[0] == this->dialect.listTarget(StoreKind::Replicas, {}, ReadConsistency::Stale));
-    CHECK(targets[1]
-          == this->dialect.listTarget(StoreKind::Replicas, {}, ReadConsistency::Linearizable));
+    CHECK(targets[0]
+          == this->dialect.listTarget(StoreObjectKind::Replicas, {}, ReadConsistency::Stale));
+    CHECK(
+        targets[1]
+        == this->dialect.listTarget(StoreObjectKind::Replicas, {}, ReadConsistency::Linearizable));
     follower.stop();
 }
--- a/tests/storeview.cpp
+++ b/tests/storeview.cpp
@@ -12,15 +12,15 @@
 protected:
     StoreViewFixture()
     {
-        this->view.routing = R"({"version":9,"text":"a\\nb"})";
-        noteReplica(this->view, "a", R"({"state":"ready"})", 10);
-        noteReplica(this->view, "b", R"({"state":"ready"})", 20);
+        this->view.routingDocument = R"({"version":9,"text":"a\\nb"})";
+        recordReplica(this->view, "a", R"({"state":"ready"})", 10);
+        recordReplica(this->view, "b", R"({"state":"ready"})", 20);
         this->view.revision = 20;
     }
 
-    [[nodiscard]] std::optional<StoreView> ask(const ViewQuestion &question) const
+    [[nodiscard]] std::optional<StoreView> ask(const StoreViewQuery &question) const
     {
-        return readStoreView(writeStoreView(this->view, 9, question));
+        return parseStoreView(serializeStoreView(this->view, 9, question));
     }
 
     StoreView view;
@@ -32,7 +32,7 @@
 {
     const auto told = this->ask({0, 0});
     REQUIRE(told);
-    CHECK(told->routing == this->view.routing);
+    CHECK(told->routingDocument == this->view.routingDocument);
     CHECK(told->replicas.size() == 2);
     CHECK(told->revision == 20);
 }
@@ -41,7 +41,7 @@
 {
     const auto told = this->ask({10, 9});
     REQUIRE(told);
-    CHECK(told->routing.empty());
+    CHECK(told->routingDocument.empty());
     REQUIRE(told->replicas.size() == 1);
     CHECK(told->replicas.contains("b"));
 }
@@ -50,19 +50,19 @@
 {
     // An upstream is dropped some time after the store's last change. A router that had heard up
     // to that change would keep sending to it if its end were noted at that revision.
-    noteGone(this->view, "a", 20);
+    recordRemoval(this->view, "a", 20);
     const auto told = this->ask({20, 9});
     REQUIRE(told);
     REQUIRE(told->replicas.contains("a"));
-    CHECK(told->replicas.at("a").gone);
+    CHECK(told->replicas.at("a").removed);
 }
 
 TEST_CASE_METHOD(StoreViewFixture, "storeView_unchangedEntryListedAgain_keepsItsRevision",
                  "[gateway]")
 {
-    noteReplica(this->view, "a", R"({"state":"ready"})", 30);
+    recordReplica(this->view, "a", R"({"state":"ready"})", 30);
     CHECK(this->view.replicas.at("a").revision == 10);
-    noteReplica(this->view, "a", R"({"state":"draining"})", 30);
+    recordReplica(this->view, "a", R"({"state":"draining"})", 30);
     CHECK(this->view.replicas.at("a").revision == 30);
 }
 
@@ -77,14 +77,14 @@
     ReplicaDirectory directory;
     Replica replica;
     replica.id = "a";
-    directory.takeEntry(replica);
-    directory.takeRemovals({"a"}, clock.now() + missingGrace, clock.now());
-    noteKnown(this->view, 21, directory);
+    directory.applyEntry(replica);
+    directory.applyRemovals({"a"}, clock.now() + missingGracePeriod, clock.now());
+    advanceRevision(this->view, 21, directory);
     CHECK(this->view.revision == 20);
-    clock.advance(missingGrace);
-    directory.expire(clock.now());
-    noteGone(this->view, "a", 25);
-    noteKnown(this->view, 25, directory);
+    clock.advance(missingGracePeriod);
+    directory.removeExpired(clock.now());
+    recordRemoval(this->view, "a", 25);
+    advanceRevision(this->view, 25, directory);
     CHECK(this->view.revision == 25);
     // Others have meanwhile heard elsewhere of changes up to the 25th.
     const auto told = this->ask({25, 9});
@@ -94,35 +94,35 @@
 
 TEST_CASE("storeView_question_isReadBack", "[gateway]")
 {
-    const auto question = questionOf(targetOf({123, 45}));
+    const auto question = parseStoreViewQuery(storeViewTarget({123, 45}));
     REQUIRE(question);
     CHECK(question->revision == 123);
     CHECK(question->configVersion == 45);
-    CHECK_FALSE(questionOf("/metrics"));
-    CHECK_FALSE(questionOf("/fleet/store?since=x"));
+    CHECK_FALSE(parseStoreViewQuery("/metrics"));
+    CHECK_FALSE(parseStoreViewQuery("/fleet/store?since=x"));
 }
 
 TEST_CASE("storeView_damagedText_isNoView", "[gateway]")
 {
-    CHECK_FALSE(readStoreView(""));
-    CHECK_FALSE(readStoreView("{}\n"));
-    CHECK_FALSE(readStoreView(R"({"revision":1,"replicas":{}})"));
-    CHECK(readStoreView("{\"revision\":1,\"replicas\":{}}\n"));
+    CHECK_FALSE(parseStoreView(""));
+    CHECK_FALSE(parseStoreView("{}\n"));
+    CHECK_FALSE(parseStoreView(R"({"revision":1,"replicas":{}})"));
+    CHECK(parseStoreView("{\"revision\":1,\"replicas\":{}}\n"));
 }
 
 TEST_CASE("viewHandout_manyWantALargeView_twoGetItAtOnce", "[gateway]")
 {
     // A data centre of sixty routers starts at once, and three of them have the store's objects.
     // All others ask for half a megabyte over their thin links.
-    ViewHandout handout;
+    StoreViewLimiter handout;
     bool hasLeft = false;
     const auto isDone = [&hasLeft] { return hasLeft; };
-    CHECK(handout.begin(largeView, isDone));
-    CHECK(handout.begin(largeView, isDone));
-    CHECK_FALSE(handout.begin(largeView, isDone));
-    CHECK(handout.begin(largeView - 1, isDone));
+    CHECK(handout.tryBegin(largeViewBytes, isDone));
+    CHECK(handout.tryBegin(largeViewBytes, isDone));
+    CHECK_FALSE(handout.tryBegin(largeViewBytes, isDone));
+    CHECK(handout.tryBegin(largeViewBytes - 1, isDone));
     hasLeft = true;
-    CHECK(handout.begin(largeView, isDone));
+    CHECK(handout.tryBegin(largeViewBytes, isDone));
 }
 
 TEST_CASE("storeView_answerAskedForBeforeAList_undoesNoLeaving", "[gateway]")
@@ -132,9 +132,9 @@
     // Taken, it sent requests there for five more seconds, on this router and on all that asked it,
     // since each of them took itself to have heard of the newer revision.
     StoreView view;
-    noteReplica(view, "u-1", R"({"state":"leaving"})", 167);
+    recordReplica(view, "u-1", R"({"state":"leaving"})", 167);
     view.revision = 167;
-    CHECK(isOutdated(view, 165));
-    CHECK_FALSE(isOutdated(view, 167));
-    CHECK_FALSE(isOutdated(StoreView{}, 0));
+    CHECK(isStale(view, 165));
+    CHECK_FALSE(isStale(view, 167));
+    CHECK_FALSE(isStale(StoreView{}, 0));
 }
--- a/tests/story.cpp
+++ b/tests/story.cpp
@@ -13,11 +13,11 @@
     void take(const std::string &line)
     {
         if (auto read = readLogLine(line)) {
-            this->collector.take(std::move(*read));
+            this->collector.add(std::move(*read));
         }
     }
 
-    StoryCollector collector{"r1"};
+    TimelineCollector collector{"r1"};
 };
 
 } // namespace
@@ -62,18 +62,18 @@
     this->take("time=3000000 event=404 name=request-placed severity=info node=a request=r1 "
                "upstream=u1");
     this->take("time=3000000 event=404 name=request-placed severity=info node=a request=r2");
-    const RequestStory story = this->collector.story();
+    const RequestTimeline story = this->collector.timeline();
     REQUIRE(story.steps.size() == 2);
     CHECK(story.steps.front().event == 404);
-    REQUIRE(story.beliefs.size() == 2);
-    CHECK(story.beliefs.front().valueOf("version") == "7");
-    CHECK(story.beliefs.back().event == 504);
-    const std::string told = tell(story);
+    REQUIRE(story.knownState.size() == 2);
+    CHECK(story.knownState.front().valueOf("version") == "7");
+    CHECK(story.knownState.back().event == 504);
+    const std::string told = formatTimeline(story);
     CHECK(told.find("2000.0 ms  a  configuration: routing-taken version=7") != std::string::npos);
     CHECK(told.find("look next at the list entries") != std::string::npos);
 }
 
 TEST_CASE_METHOD(StoryFixture, "story_unknownRequest_saysSo", "[observe]")
 {
-    CHECK(tell(this->collector.story()) == "no line names this request\n");
+    CHECK(formatTimeline(this->collector.timeline()) == "no line names this request\n");
 }
--- a/tests/support/gatewayfixture.cpp
+++ b/tests/support/gatewayfixture.cpp
@@ -70,16 +70,16 @@
 
 } // namespace
 
-std::optional<SeenRequest> ServerConnection::read()
+std::optional<ReceivedRequest> ServerConnection::read()
 {
-    SeenRequest seen;
+    ReceivedRequest seen;
     MessageParser parser(MessageKind::Request, 1 << 20,
                          {[&seen](MessageHead head) { seen.head = std::move(head); },
                           [&seen](std::string_view bytes) { seen.body.append(bytes); }});
-    ParseState reached = parser.feed(this->surplus);
-    this->surplus.clear();
+    ParseState reached = parser.feed(this->buffered);
+    this->buffered.clear();
     std::array<char, readSize> buffer{};
-    while (reached == ParseState::More) {
+    while (reached == ParseState::Incomplete) {
         asio::error_code error;
         const std::size_t size = this->socket.read_some(asio::buffer(buffer), error);
         if (error) {
@@ -87,7 +87,7 @@
         }
         reached = parser.feed({buffer.data(), size});
     }
-    return reached == ParseState::Whole ? std::optional(seen) : std::nullopt;
+    return reached == ParseState::Complete ? std::optional(seen) : std::nullopt;
 }
 
 void ServerConnection::send(std::string_view bytes)
@@ -134,7 +134,7 @@
 
 ScriptedServer::~ScriptedServer()
 {
-    this->ending = true;
+    this->stopping = true;
     asio::error_code error;
     // Wakes the accepting thread.
     asio::ip::tcp::socket last(this->context);
@@ -146,14 +146,14 @@
             socket->shutdown(asio::ip::tcp::socket::shutdown_both, error);
         }
     }
-    for (std::thread &player : this->players) {
+    for (std::thread &player : this->scriptThreads) {
         player.join();
     }
 }
 
-void ScriptedServer::shut()
+void ScriptedServer::stopAccepting()
 {
-    this->ending = true;
+    this->stopping = true;
     // Wakes the accepting thread; closing wouldn't.
     ::shutdown(this->acceptor.native_handle(), SHUT_RDWR);
 }
@@ -164,7 +164,7 @@
         asio::error_code error;
         asio::ip::tcp::socket socket(this->context);
         this->acceptor.accept(socket, error);
-        if (this->ending) {
+        if (this->stopping) {
             return;
         }
         if (error) {
@@ -179,7 +179,7 @@
             const std::lock_guard lock(this->mutex);
             this->open.push_back(waker);
         }
-        this->players.emplace_back([this, waker, taken = std::move(socket)]() mutable {
+        this->scriptThreads.emplace_back([this, waker, taken = std::move(socket)]() mutable {
             ServerConnection connection(std::move(taken));
             this->script(connection);
             const std::lock_guard lock(this->mutex);
@@ -198,20 +198,20 @@
     for (std::thread &router : this->routers) {
         router.join();
     }
-    this->end();
+    this->stopGateway();
 }
 
-void GatewayFixture::end()
+void GatewayFixture::stopGateway()
 {
     if (this->thread.joinable()) {
-        this->gateway->post([this] { this->gateway->end(); });
+        this->gateway->post([this] { this->gateway->forceStop(); });
         this->thread.join();
     }
 }
 
-bool GatewayFixture::endBlocks(int signal)
+bool GatewayFixture::isSignalBlockedAfterStop(int signal)
 {
-    this->end();
+    this->stopGateway();
     return sigismember(&this->blockedAtEnd, signal) == 1;
 }
 
@@ -241,7 +241,7 @@
     this->replicaItems += (this->replicaItems.empty() ? "" : ",") + objectOf(id, entry.dump());
 }
 
-void GatewayFixture::playStore(ServerConnection &connection)
+void GatewayFixture::serveStore(ServerConnection &connection)
 {
     while (const auto request = connection.read()) {
         const std::string &target = request->head.target;
@@ -249,7 +249,7 @@
             if (connection.waitForEnd(waitOf(target))) {
                 return;
             }
-            if (this->swallows) {
+            if (this->ignoresWatches) {
                 connection.waitForEnd();
                 return;
             }
@@ -258,7 +258,7 @@
         }
         const bool isRouting = target.starts_with("/objects/config");
         const bool isReplicas = target.starts_with("/objects/servers");
-        this->lists += isReplicas ? 1 : 0;
+        this->listCount += isReplicas ? 1 : 0;
         const std::string items = isRouting
                                       ? objectOf("main", routingDocument(this->routingVersion))
                                   : isReplicas ? this->replicaItems
@@ -270,10 +270,10 @@
 void GatewayFixture::start()
 {
     this->store = std::make_unique<ScriptedServer>(
-        [this](ServerConnection &connection) { this->playStore(connection); });
+        [this](ServerConnection &connection) { this->serveStore(connection); });
     GatewaySettings settings;
     settings.id = "router-1";
-    settings.place = "hall-a";
+    settings.dataCentre = "hall-a";
     settings.callers = {"127.0.0.1", 0};
     settings.readiness = {"127.0.0.1", 0};
     settings.peerDatagrams = {"127.0.0.1", 0};
@@ -281,7 +281,7 @@
     settings.store = this->store->endpoint();
     settings.log.level = Severity::Error;
     this->gateway = std::make_unique<Gateway>(this->clock, this->dialect, std::move(settings));
-    this->gateway->open();
+    this->gateway->openListeners();
     this->thread = std::thread([this] {
         this->gateway->run();
         pthread_sigmask(SIG_BLOCK, nullptr, &this->blockedAtEnd);
@@ -289,10 +289,10 @@
     eventually([this] { return this->isReady(); });
 }
 
-void GatewayFixture::hearSilentRouter(const std::string &id, const std::string &place,
-                                      std::uint64_t storeRevision)
+void GatewayFixture::addSilentRouter(const std::string &id, const std::string &place,
+                                     std::uint64_t storeRevision)
 {
-    const Endpoint to = this->gateway->datagramsAt();
+    const Endpoint to = this->gateway->datagramEndpoint();
     this->routers.emplace_back([this, id, place, to, storeRevision] {
         asio::io_context context;
         asio::ip::udp::socket socket(context, {asio::ip::make_address("127.0.0.1"), 0});
@@ -311,14 +311,15 @@
     });
     eventually([this, id] {
         std::promise<bool> known;
-        this->gateway->post(
-            [this, id, &known] { known.set_value(this->gateway->shared().peers.knows(id, 1)); });
+        this->gateway->post([this, id, &known] {
+            known.set_value(this->gateway->sharedState().peerLoads.knows(id, 1));
+        });
         return known.get_future().get();
     });
 }
 
-std::string GatewayFixture::requestOf(const std::string &path, const std::string &attempt,
-                                      const std::string &body, const std::string &more)
+std::string GatewayFixture::makeRequest(const std::string &path, const std::string &attempt,
+                                        const std::string &body, const std::string &more)
 {
     return fmt::format("POST {} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: {}\r\n"
                        "X-Time-Budget: 4000\r\nAuthorization: Bearer key-a\r\n{}"
@@ -329,23 +330,23 @@
 asio::ip::tcp::socket GatewayFixture::connectCaller()
 {
     asio::ip::tcp::socket socket(this->callerContext);
-    const Endpoint at = this->gateway->callersAt();
+    const Endpoint at = this->gateway->callerEndpoint();
     socket.connect({asio::ip::make_address(at.host), at.port});
     return socket;
 }
 
-SeenAnswer GatewayFixture::readAnswer(asio::ip::tcp::socket &socket)
+ReceivedResponse GatewayFixture::readResponse(asio::ip::tcp::socket &socket)
 {
-    SeenAnswer seen;
-    MessageParser parser(MessageKind::Answer, 1 << 20,
+    ReceivedResponse seen;
+    MessageParser parser(MessageKind::Response, 1 << 20,
                          {[&seen](MessageHead head) {
                               seen.status = head.status;
                               seen.fields = std::move(head.fields);
                           },
                           [&seen](std::string_view bytes) { seen.body.append(bytes); }});
     std::array<char, readSize> buffer{};
-    ParseState reached = ParseState::More;
-    while (reached == ParseState::More) {
+    ParseState reached = ParseState::Incomplete;
+    while (reached == ParseState::Incomplete) {
         asio::error_code error;
         const std::size_t size = socket.read_some(asio::buffer(buffer), error);
         if (error) {
@@ -353,41 +354,41 @@
         }
         reached = parser.feed({buffer.data(), size});
     }
-    seen.whole = reached == ParseState::Whole;
+    seen.isComplete = reached == ParseState::Complete;
     return seen;
 }
 
-std::uint64_t GatewayFixture::versionInForce()
+std::uint64_t GatewayFixture::appliedConfigVersion()
 {
     std::promise<std::uint64_t> version;
     this->gateway->post([this, &version] {
-        const auto &table = this->gateway->shared().table;
+        const auto &table = this->gateway->sharedState().routingTable;
         version.set_value(table ? table->config().version : 0);
     });
     return version.get_future().get();
 }
 
-SeenAnswer GatewayFixture::call(const std::string &bytes)
+ReceivedResponse GatewayFixture::call(const std::string &bytes)
 {
     asio::ip::tcp::socket socket = this->connectCaller();
     asio::error_code error;
     asio::write(socket, asio::buffer(bytes), error);
-    return readAnswer(socket);
+    return readResponse(socket);
 }
 
-SeenAnswer GatewayFixture::page(const std::string &path)
+ReceivedResponse GatewayFixture::getInternalPage(const std::string &path)
 {
     asio::ip::tcp::socket socket(this->callerContext);
-    const Endpoint at = this->gateway->readinessAt();
+    const Endpoint at = this->gateway->readinessEndpoint();
     asio::error_code error;
     socket.connect({asio::ip::make_address(at.host), at.port}, error);
     asio::write(socket, asio::buffer(fmt::format("GET {} HTTP/1.1\r\n\r\n", path)), error);
-    return readAnswer(socket);
+    return readResponse(socket);
 }
 
 bool GatewayFixture::isReady()
 {
-    return this->page("/readiness").status == 200;
+    return this->getInternalPage("/readiness").status == 200;
 }
 
 bool GatewayFixture::eventually(const std::function<bool()> &condition)
@@ -402,27 +403,27 @@
     return condition();
 }
 
-std::string GatewayFixture::answerTo(const SeenRequest &request, const std::string &body,
-                                     int status, const std::string &more)
+std::string GatewayFixture::makeResponse(const ReceivedRequest &request, const std::string &body,
+                                         int status, const std::string &more)
 {
     return fmt::format("HTTP/1.1 {} X\r\nX-Attempt-Id: {}\r\nX-Server-Stamp: stamp\r\n{}"
                        "Content-Length: {}\r\n\r\n{}",
                        status, *request.head.find("X-Attempt-Id"), more, body.size(), body);
 }
 
-std::string GatewayFixture::streamHead(const SeenRequest &request)
+std::string GatewayFixture::makeStreamHead(const ReceivedRequest &request)
 {
     return fmt::format("HTTP/1.1 200 OK\r\nX-Attempt-Id: {}\r\nX-Server-Stamp: stamp\r\n"
                        "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
                        *request.head.find("X-Attempt-Id"));
 }
 
-std::string GatewayFixture::chunkOf(const std::string &bytes)
+std::string GatewayFixture::makeChunk(const std::string &bytes)
 {
     return fmt::format("{:x}\r\n{}\r\n", bytes.size(), bytes);
 }
 
-std::string GatewayFixture::eventOf(int id)
+std::string GatewayFixture::makeEvent(int id)
 {
     return fmt::format("id: {}\ndata: piece {}\n\n", id, id);
 }
--- a/tests/support/gatewayfixture.h
+++ b/tests/support/gatewayfixture.h
@@ -20,7 +20,7 @@
 namespace plantainswitch::gateway {
 
 /// A request as a scripted server got it.
-struct SeenRequest
+struct ReceivedRequest
 {
     MessageHead head;
     std::string body;
@@ -35,7 +35,7 @@
     {}
 
     /// \returns the next whole request, or nothing when the connection has ended.
-    std::optional<SeenRequest> read();
+    std::optional<ReceivedRequest> read();
     void send(std::string_view bytes);
     /// Ends the connection in order.
     void close();
@@ -48,7 +48,7 @@
 
 private:
     asio::ip::tcp::socket socket;
-    std::string surplus;
+    std::string buffered;
 };
 
 /// A server on loopback, each connection of which is played by a function on its own thread.
@@ -63,9 +63,9 @@
     ScriptedServer &operator=(const ScriptedServer &) = delete;
 
     /// Takes no further connections: its address refuses them.
-    void shut();
+    void stopAccepting();
     [[nodiscard]] Endpoint endpoint() const { return this->address; }
-    [[nodiscard]] int connections() const noexcept { return this->accepted; }
+    [[nodiscard]] int connectionCount() const noexcept { return this->accepted; }
 
 private:
     void serve();
@@ -75,21 +75,21 @@
     Endpoint address;
     Script script;
     std::atomic<int> accepted = 0;
-    std::atomic<bool> ending = false;
+    std::atomic<bool> stopping = false;
     std::mutex mutex;
     std::vector<std::shared_ptr<asio::ip::tcp::socket>> open;
-    std::vector<std::thread> players;
+    std::vector<std::thread> scriptThreads;
     std::thread thread;
 };
 
 /// An answer as a caller got it.
-struct SeenAnswer
+struct ReceivedResponse
 {
     int status = 0;
     std::vector<HeaderField> fields;
     std::string body;
     /// The answer came to its end.
-    bool whole = false;
+    bool isComplete = false;
 };
 
 /// A gateway between scripted upstreams and a caller, with a stand-in of the platform's store that
@@ -107,44 +107,45 @@
     void addDeadUpstream(const std::string &id, const std::string &service);
     /// Ends the gateway at once and waits for it. \returns whether \a signal is blocked on the
     /// thread that ran it.
-    bool endBlocks(int signal);
+    bool isSignalBlockedAfterStop(int signal);
     /// Makes the gateway hear another router, which never answers it, until the fixture ends.
     /// \param storeRevision up to which it has heard of the store's changes
-    void hearSilentRouter(const std::string &id, const std::string &place,
-                          std::uint64_t storeRevision = 0);
+    void addSilentRouter(const std::string &id, const std::string &place,
+                         std::uint64_t storeRevision = 0);
     /// Starts the gateway and waits until it is ready.
     void start();
     /// Replaces the store's configuration; lists show it, watches that wait are not answered.
-    void editUnnoticed(std::uint64_t version) { this->routingVersion = version; }
+    void editConfigSilently(std::uint64_t version) { this->routingVersion = version; }
     /// The store answers no watch any more, and lists as before.
-    void swallowWatches() { this->swallows = true; }
+    void ignoreWatches() { this->ignoresWatches = true; }
     /// \returns the version of the configuration in force; 0: none.
-    std::uint64_t versionInForce();
+    std::uint64_t appliedConfigVersion();
     /// \returns a request as callers send it.
-    [[nodiscard]] static std::string requestOf(const std::string &path, const std::string &attempt,
-                                               const std::string &body = {},
-                                               const std::string &more = {});
+    [[nodiscard]] static std::string makeRequest(const std::string &path,
+                                                 const std::string &attempt,
+                                                 const std::string &body = {},
+                                                 const std::string &more = {});
     /// Sends \a bytes on a new connection and reads one answer.
-    SeenAnswer call(const std::string &bytes);
+    ReceivedResponse call(const std::string &bytes);
     asio::ip::tcp::socket connectCaller();
-    static SeenAnswer readAnswer(asio::ip::tcp::socket &socket);
+    static ReceivedResponse readResponse(asio::ip::tcp::socket &socket);
     /// Asks for a page that isn't for callers.
-    SeenAnswer page(const std::string &path);
+    ReceivedResponse getInternalPage(const std::string &path);
     /// \returns whether the gateway says that it is ready.
     bool isReady();
     /// Waits until \a condition holds. \returns whether it did within some seconds.
     static bool eventually(const std::function<bool()> &condition);
 
     /// \returns a whole signed answer to \a request.
-    static std::string answerTo(const SeenRequest &request, const std::string &body,
-                                int status = 200, const std::string &more = {});
+    static std::string makeResponse(const ReceivedRequest &request, const std::string &body,
+                                    int status = 200, const std::string &more = {});
     /// \returns the head of a signed event stream in chunks.
-    static std::string streamHead(const SeenRequest &request);
-    static std::string chunkOf(const std::string &bytes);
-    static std::string eventOf(int id);
+    static std::string makeStreamHead(const ReceivedRequest &request);
+    static std::string makeChunk(const std::string &bytes);
+    static std::string makeEvent(int id);
 
     /// Lists of upstreams that the store was asked for.
-    [[nodiscard]] int replicaLists() const noexcept { return this->lists; }
+    [[nodiscard]] int replicaListCount() const noexcept { return this->listCount; }
 
     asio::io_context callerContext;
     SystemClock clock;
@@ -152,15 +153,15 @@
     std::unique_ptr<Gateway> gateway;
 
 private:
-    void end();
+    void stopGateway();
     void addEntry(const std::string &id, const std::string &service, const Endpoint &endpoint);
-    void playStore(ServerConnection &connection);
+    void serveStore(ServerConnection &connection);
 
     std::vector<std::unique_ptr<ScriptedServer>> upstreams;
     std::string replicaItems;
-    std::atomic<int> lists = 0;
+    std::atomic<int> listCount = 0;
     std::atomic<std::uint64_t> routingVersion = 7;
-    std::atomic<bool> swallows = false;
+    std::atomic<bool> ignoresWatches = false;
     std::unique_ptr<ScriptedServer> store;
     std::thread thread;
     /// What the gateway's thread blocks once it has run.
--- a/tests/suspects.cpp
+++ b/tests/suspects.cpp
@@ -55,8 +55,8 @@
     void send(std::size_t router, Fingerprint fingerprint)
     {
         const TimePoint now = this->clock.now();
-        const Blame blame = blameOf(this->views[router], fingerprint, now);
-        if (blame == Blame::Quarantined) {
+        const SuspectStatus blame = suspectStatusOf(this->views[router], fingerprint, now);
+        if (blame == SuspectStatus::Quarantined) {
             this->innocentsHeld += fingerprint == crasher ? 0 : 1;
             return;
         }
@@ -65,10 +65,10 @@
         for (const auto &[engine, other] : this->running) {
             copies += other == fingerprint ? 1 : 0;
         }
-        if (copies >= copiesAtOnce || isHeldBack(keeper, fingerprint, this->running, now)) {
+        if (copies >= copiesAtOnce || isBlocked(keeper, fingerprint, this->running, now)) {
             return;
         }
-        const auto away = keepAwayFrom(keeper, fingerprint, this->running, now);
+        const auto away = excludedUpstreams(keeper, fingerprint, this->running, now);
         for (UpstreamId engine = 1; engine <= engines; ++engine) {
             const UpstreamId chosen = 1 + (fingerprint + engine) % engines;
             if (std::find(away.begin(), away.end(), chosen) == away.end()) {
@@ -97,7 +97,7 @@
     {
         this->clock.advance(Seconds{1});
         this->history.push_back({HistoryKind::Crashed, crasher, 0, 0});
-        SuspectNews news{engine, {}, {}};
+        SuspectUpdate news{engine, {}, {}};
         std::erase_if(this->running, [&](const auto &each) {
             if (each.first == engine) {
                 news.crashed.push_back(each.second);
@@ -111,19 +111,19 @@
     }
 
     /// The keeper knows at once, the other routers when the news comes.
-    void tell(const SuspectNews &news)
+    void tell(const SuspectUpdate &news)
     {
         if (this->share) {
-            takeNews(this->views[0], news, this->clock.now());
+            applySuspectUpdate(this->views[0], news, this->clock.now());
             this->underway.push_back(news);
         }
     }
 
     void deliverNews()
     {
-        for (const SuspectNews &news : this->underway) {
+        for (const SuspectUpdate &news : this->underway) {
             for (std::size_t router = 1; router < routerCount; ++router) {
-                takeNews(this->views[router], news, this->clock.now());
+                applySuspectUpdate(this->views[router], news, this->clock.now());
             }
         }
         this->underway.clear();
@@ -133,7 +133,7 @@
     ManualClock clock;
     std::array<Suspects, routerCount> views;
     std::vector<std::pair<UpstreamId, Fingerprint>> running;
-    std::vector<SuspectNews> underway;
+    std::vector<SuspectUpdate> underway;
 };
 
 } // namespace
@@ -176,24 +176,25 @@
     // kept apart, so the second crash is the crasher's alone; the innocent finishes and is clear.
     Suspects suspects;
     const TimePoint now{Seconds{10}};
-    takeNews(suspects, {1, {crasher, 2}, {}}, now);
-    CHECK(blameOf(suspects, 2, now) == Blame::Suspect);
-    CHECK(keepAwayFrom(suspects, 2, {{7, crasher}, {8, 3}}, now) == std::vector<UpstreamId>{7});
-    CHECK(keepAwayFrom(suspects, 3, {{7, crasher}}, now).empty());
-    takeNews(suspects, {7, {crasher}, {}}, now + Seconds{1});
-    takeNews(suspects, {0, {}, {2}}, now + Seconds{1});
-    CHECK(blameOf(suspects, crasher, now + Seconds{2}) == Blame::Quarantined);
-    CHECK(blameOf(suspects, 2, now + Seconds{2}) == Blame::None);
-    CHECK(blameOf(suspects, crasher, now + Seconds{700}) == Blame::None);
+    applySuspectUpdate(suspects, {1, {crasher, 2}, {}}, now);
+    CHECK(suspectStatusOf(suspects, 2, now) == SuspectStatus::Suspected);
+    CHECK(excludedUpstreams(suspects, 2, {{7, crasher}, {8, 3}}, now)
+          == std::vector<UpstreamId>{7});
+    CHECK(excludedUpstreams(suspects, 3, {{7, crasher}}, now).empty());
+    applySuspectUpdate(suspects, {7, {crasher}, {}}, now + Seconds{1});
+    applySuspectUpdate(suspects, {0, {}, {2}}, now + Seconds{1});
+    CHECK(suspectStatusOf(suspects, crasher, now + Seconds{2}) == SuspectStatus::Quarantined);
+    CHECK(suspectStatusOf(suspects, 2, now + Seconds{2}) == SuspectStatus::None);
+    CHECK(suspectStatusOf(suspects, crasher, now + Seconds{700}) == SuspectStatus::None);
 }
 
 TEST_CASE("suspects_manyRoutersReportOneCrash_countsOnce", "[suspects]")
 {
     Suspects suspects;
     const TimePoint now{Seconds{10}};
-    takeNews(suspects, {1, {crasher}, {}}, now);
-    takeNews(suspects, {1, {crasher}, {}}, now + Milliseconds{20});
-    CHECK(blameOf(suspects, crasher, now + Milliseconds{20}) == Blame::Suspect);
+    applySuspectUpdate(suspects, {1, {crasher}, {}}, now);
+    applySuspectUpdate(suspects, {1, {crasher}, {}}, now + Milliseconds{20});
+    CHECK(suspectStatusOf(suspects, crasher, now + Milliseconds{20}) == SuspectStatus::Suspected);
 }
 
 TEST_CASE("retryBudget_outage_spendsNoMoreThanItsShare", "[answers]")
@@ -201,8 +202,8 @@
     RetryBudget budget({0.1, 5});
     std::size_t retries = 0;
     for (int request = 0; request < 1000; ++request) {
-        budget.earn();
-        retries += budget.spend() ? 1 : 0;
+        budget.deposit();
+        retries += budget.tryWithdraw() ? 1 : 0;
     }
     CHECK(retries <= 105);
     CHECK(retries >= 100);
--- a/tests/upstreamhealth.cpp
+++ b/tests/upstreamhealth.cpp
@@ -9,7 +9,7 @@
 class UpstreamHealthFixture
 {
 protected:
-    [[nodiscard]] bool avoided() const { return isAvoided(this->health, this->clock.now()); }
+    [[nodiscard]] bool avoided() const { return isEjected(this->health, this->clock.now()); }
 
     UpstreamHealth health;
     ManualClock clock;
@@ -22,23 +22,23 @@
 {
     recordFault(this->health, UpstreamFault::Unreachable, this->clock.now());
     CHECK(this->avoided());
-    this->clock.advance(shortestAvoidance);
+    this->clock.advance(minEjectionTime);
     CHECK_FALSE(this->avoided());
     recordFault(this->health, UpstreamFault::Unreachable, this->clock.now());
-    this->clock.advance(shortestAvoidance);
+    this->clock.advance(minEjectionTime);
     CHECK(this->avoided());
     for (int i = 0; i < 100; ++i) {
         recordFault(this->health, UpstreamFault::Unreachable, this->clock.now());
     }
-    this->clock.advance(longestAvoidance);
+    this->clock.advance(maxEjectionTime);
     CHECK_FALSE(this->avoided());
 }
 
 TEST_CASE_METHOD(UpstreamHealthFixture, "health_oneBrokenAnswer_isTheRequestsOwn", "[routing]")
 {
-    recordFault(this->health, UpstreamFault::Broken, this->clock.now());
+    recordFault(this->health, UpstreamFault::ConnectionLost, this->clock.now());
     CHECK_FALSE(this->avoided());
-    recordFault(this->health, UpstreamFault::Broken, this->clock.now());
+    recordFault(this->health, UpstreamFault::ConnectionLost, this->clock.now());
     CHECK(this->avoided());
 }
 
@@ -48,7 +48,7 @@
     REQUIRE(this->avoided());
     recordSuccess(this->health, Duration{0}, this->clock.now());
     CHECK_FALSE(this->avoided());
-    CHECK(this->health.downInRow == 0);
+    CHECK(this->health.consecutiveDownFaults == 0);
 }
 
 TEST_CASE_METHOD(UpstreamHealthFixture, "health_silenceOfLongAgo_isNoNewsForANewcomer", "[routing]")
@@ -57,7 +57,7 @@
     // it hasn't heard: told of these, it would avoid an upstream that is well.
     this->clock.advance(Seconds{1});
     CHECK_FALSE(isNewTimeout(this->health, {}, this->clock.now()));
-    recordFault(this->health, UpstreamFault::Silent, this->clock.now());
+    recordFault(this->health, UpstreamFault::TimedOut, this->clock.now());
     const TimePoint told = this->clock.now() + Milliseconds{1};
     this->clock.advance(Milliseconds{100});
     CHECK(isNewTimeout(this->health, {}, this->clock.now()));
@@ -71,19 +71,19 @@
     // An engine loses power. Each caller who waits for it loses its objective, so that the first
     // two silences, wherever they are seen, must keep all others away. One alone may be chance.
     this->clock.advance(Seconds{1});
-    recordFault(this->health, UpstreamFault::Silent, this->clock.now());
+    recordFault(this->health, UpstreamFault::TimedOut, this->clock.now());
     CHECK_FALSE(this->avoided());
-    CHECK(this->health.ownSilenceAt == this->clock.now());
-    recordPeerSilence(this->health, this->clock.now());
+    CHECK(this->health.ownTimeoutAt == this->clock.now());
+    recordPeerTimeout(this->health, this->clock.now());
     CHECK(this->avoided());
 }
 
 TEST_CASE_METHOD(UpstreamHealthFixture, "health_silencesFarApart_areChance", "[routing]")
 {
     for (int i = 0; i < 20; ++i) {
-        recordFault(this->health, UpstreamFault::Silent, this->clock.now());
+        recordFault(this->health, UpstreamFault::TimedOut, this->clock.now());
         CHECK_FALSE(this->avoided());
-        this->clock.advance(2 * suspicionHalfLife);
+        this->clock.advance(2 * timeoutScoreHalfLife);
     }
 }
 
@@ -96,19 +96,19 @@
         recordFault(this->health, UpstreamFault::Failed, this->clock.now());
         recordSuccess(this->health, Duration{0}, this->clock.now());
     }
-    const double share = failureShareOf(this->health, this->clock.now());
+    const double share = failureRateOf(this->health, this->clock.now());
     CHECK(share > 0.4);
     CHECK(share < 0.6);
     CHECK_FALSE(this->avoided());
-    this->clock.advance(blameHalfLife);
-    CHECK(failureShareOf(this->health, this->clock.now()) == Approx(share / 2));
+    this->clock.advance(penaltyHalfLife);
+    CHECK(failureRateOf(this->health, this->clock.now()) == Approx(share / 2));
 }
 
 TEST_CASE_METHOD(UpstreamHealthFixture, "health_fullUpstream_isNotBlamed", "[routing]")
 {
-    recordFault(this->health, UpstreamFault::Full, this->clock.now());
+    recordFault(this->health, UpstreamFault::Rejected, this->clock.now());
     CHECK_FALSE(this->avoided());
-    CHECK(failureShareOf(this->health, this->clock.now()) == 0.0);
+    CHECK(failureRateOf(this->health, this->clock.now()) == 0.0);
 }
 
 TEST_CASE_METHOD(UpstreamHealthFixture, "health_peersWord_isNotPassedOn", "[routing]")
@@ -116,10 +116,10 @@
     // Routers tell each other which upstreams they avoid. If a router passed on what it only
     // heard, two of them would keep an upstream avoided for ever.
     const TimePoint now = this->clock.now();
-    recordPeerAvoidance(this->health, now + Seconds{100}, now);
+    recordPeerEjection(this->health, now + Seconds{100}, now);
     CHECK(this->avoided());
-    CHECK(this->health.ownAvoidUntil <= now);
-    this->clock.advance(longestAvoidance);
+    CHECK(this->health.ownEjectedUntil <= now);
+    this->clock.advance(maxEjectionTime);
     CHECK_FALSE(this->avoided());
 }
 
@@ -128,6 +128,6 @@
     // Caches are cold and long prompts queue up. Requests wait for their first token while the
     // engine streams to others. If each were taken for a dead engine, all would be avoided in turn.
     const TimePoint sent{Seconds{10}};
-    CHECK(judgeSilence(sent, TimePoint{Seconds{9}}) == Silence::Dark);
-    CHECK(judgeSilence(sent, TimePoint{Seconds{11}}) == Silence::Busy);
+    CHECK(classifyTimeout(sent, TimePoint{Seconds{9}}) == TimeoutCause::Unresponsive);
+    CHECK(classifyTimeout(sent, TimePoint{Seconds{11}}) == TimeoutCause::Busy);
 }
--- a/tests/upstreampools.cpp
+++ b/tests/upstreampools.cpp
@@ -28,7 +28,7 @@
             vm.id = "vm-" + std::to_string(number);
             vm.role = this->below(5) == 0 ? VmRole::Router : VmRole::Engine;
             vm.service = "model-" + std::to_string(this->below(3));
-            vm.place = "hall-" + std::to_string(this->below(3));
+            vm.dataCentre = "hall-" + std::to_string(this->below(3));
             vms.push_back(vm);
         }
         return vms;
@@ -54,13 +54,13 @@
         for (std::size_t each = this->below(4); each > 0 && !vms.empty(); --each) {
             const std::string id = vms[this->below(vms.size())].id;
             leaving.insert(id);
-            table.markLeaving(id, TimePoint{Seconds{1}});
+            table.markDraining(id, TimePoint{Seconds{1}});
         }
         for (const Vm &asked : vms) {
             std::set<std::string> wanted;
             for (const Vm &vm : vms) {
                 if (vm.role != VmRole::Router && vm.service == asked.service
-                    && vm.place == asked.place) {
+                    && vm.dataCentre == asked.dataCentre) {
                     wanted.insert(vm.id);
                 }
             }
@@ -69,7 +69,7 @@
             }
             std::set<std::string> found;
             for (const Upstream &each :
-                 table.ready(asked.service, asked.place, TimePoint{Seconds{1}})) {
+                 table.ready(asked.service, asked.dataCentre, TimePoint{Seconds{1}})) {
                 found.insert(each.vm.id);
             }
             REQUIRE(found == wanted);
