--- a/tests/upstreamselection.cpp
+++ b/tests/upstreamselection.cpp
@@ -20,9 +20,9 @@
         for (std::size_t i = 0; i < count; ++i) {
             auto state = std::make_unique<UpstreamState>();
             state->replica.id = place + "-engine-" + std::to_string(i);
-            state->replica.place = place;
-            state->replica.slots = 48;
-            state->replica.born = 1;
+            state->replica.dataCentre = place;
+            state->replica.maxConcurrency = 48;
+            state->replica.startTime = 1;
             this->pointers.push_back(state.get());
             this->engines.push_back(std::move(state));
         }
@@ -34,18 +34,20 @@
         return {"m", {{1000, 2500}, {subject, 6000}, {subject << 20U, 500}}, 50};
     }
 
-    std::optional<Choice> choose(const Prompt &prompt, const std::vector<std::string> &tried = {})
+    std::optional<UpstreamSelection> choose(const Prompt &prompt,
+                                            const std::vector<std::string> &tried = {})
     {
-        const std::vector<std::uint64_t> chain = chainOf(prompt);
-        return chooseUpstream(this->pointers, {"hall-a", 0, &prompt, chain, tried}, this->memory,
+        const std::vector<std::uint64_t> chain = prefixHashesOf(prompt);
+        return selectUpstream(this->pointers, {"hall-a", 0, &prompt, chain, tried}, this->memory,
                               this->policy, this->clock.now());
     }
 
-    void hand(const Choice &choice, const Prompt &prompt)
+    void hand(const UpstreamSelection &choice, const Prompt &prompt)
     {
         UpstreamState &state = *this->pointers[choice.index];
         state.ownRunning += 1;
-        this->memory.note(chainOf(prompt), lifeOf(state.replica), this->clock.now());
+        this->memory.recordUse(prefixHashesOf(prompt), incarnationOf(state.replica),
+                               this->clock.now());
     }
 
     /// Adds nine engines and gives \a prompt to the one that is chosen.
@@ -61,8 +63,8 @@
 
     std::vector<std::unique_ptr<UpstreamState>> engines;
     std::vector<UpstreamState *> pointers;
-    ChainMemory memory;
-    ChoicePolicy policy;
+    PrefixIndex memory;
+    SelectionPolicy policy;
     ManualClock clock;
 };
 
@@ -88,9 +90,9 @@
     this->addEngines(9);
     const Prompt prompt = promptAbout(7);
     const auto here = this->choose(prompt);
-    ChainMemory empty;
-    const std::vector<std::uint64_t> chain = chainOf(prompt);
-    const auto there = chooseUpstream(this->pointers, {"hall-b", 0, &prompt, chain, {}}, empty,
+    PrefixIndex empty;
+    const std::vector<std::uint64_t> chain = prefixHashesOf(prompt);
+    const auto there = selectUpstream(this->pointers, {"hall-b", 0, &prompt, chain, {}}, empty,
                                       this->policy, this->clock.now());
     REQUIRE(here);
     REQUIRE(there);
@@ -150,7 +152,7 @@
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_leavingOrTried_isNeverUsed", "[routing]")
 {
     this->addEngines(2);
-    this->pointers[0]->replica.leaving = true;
+    this->pointers[0]->replica.draining = true;
     const auto choice = this->choose(promptAbout(1));
     REQUIRE(choice);
     CHECK(choice->index == 1);
@@ -179,9 +181,9 @@
     // load on the one that is left, which would hold nine times its share.
     this->addEngines(9);
     for (std::size_t i = 0; i < 8; ++i) {
-        recordFault(this->pointers[i]->health, UpstreamFault::Broken, this->clock.now());
-        recordFault(this->pointers[i]->health, UpstreamFault::Broken, this->clock.now());
-        REQUIRE(isAvoided(this->pointers[i]->health, this->clock.now()));
+        recordFault(this->pointers[i]->health, UpstreamFault::ConnectionLost, this->clock.now());
+        recordFault(this->pointers[i]->health, UpstreamFault::ConnectionLost, this->clock.now());
+        REQUIRE(isEjected(this->pointers[i]->health, this->clock.now()));
     }
     std::map<std::size_t, int> picks;
     for (std::uint64_t subject = 1; subject <= 90; ++subject) {
@@ -225,7 +227,7 @@
         recordFault(state->health, UpstreamFault::Unreachable, this->clock.now());
     }
     CHECK_FALSE(this->choose(promptAbout(1)));
-    this->clock.advance(longestAvoidance);
+    this->clock.advance(maxEjectionTime);
     CHECK(this->choose(promptAbout(1)));
 }
 
@@ -236,7 +238,7 @@
     const auto before = this->choose(prompt);
     this->hand(*before, prompt);
     CHECK(this->choose(prompt)->uncachedTokens == 0.0);
-    this->pointers[0]->replica.born = 2;
+    this->pointers[0]->replica.startTime = 2;
     CHECK(this->choose(prompt)->uncachedTokens > 0.0);
 }
 
@@ -247,7 +249,7 @@
     this->addEngines(1, "hall-c");
     for (std::uint64_t hash = 0; hash < 50; ++hash) {
         const auto choice =
-            chooseUpstream(this->pointers, {"hall-a", hashOf("r", hash), nullptr, {}, {}},
+            selectUpstream(this->pointers, {"hall-a", hashOf("r", hash), nullptr, {}, {}},
                            this->memory, this->policy, this->clock.now());
         REQUIRE(choice);
         CHECK(choice->index == 1);
@@ -256,45 +258,45 @@
 
 TEST_CASE("chainMemory_moreThanItsMost_forgetsTheOldest", "[routing]")
 {
-    ChainMemory memory(100);
+    PrefixIndex memory(100);
     ManualClock clock;
     for (std::uint64_t chain = 1; chain <= 101; ++chain) {
-        memory.note({&chain, 1}, 5, clock.now());
+        memory.recordUse({&chain, 1}, 5, clock.now());
         clock.advance(Milliseconds{1});
     }
     const std::uint64_t oldest = 1;
     const std::uint64_t newest = 101;
-    CHECK(memory.knownParts({&oldest, 1}, 5, clock.now()) == 0);
-    CHECK(memory.knownParts({&newest, 1}, 5, clock.now()) == 1);
+    CHECK(memory.cachedParts({&oldest, 1}, 5, clock.now()) == 0);
+    CHECK(memory.cachedParts({&newest, 1}, 5, clock.now()) == 1);
 }
 
 TEST_CASE("chainMemory_enginesReplacedForMonths_remembersThoseInUse", "[routing]")
 {
     // All prompts share a prefix, whose entry is always in use. Engine after engine reads it and is
     // replaced: what is remembered of the dead ones must not grow with their number.
-    ChainMemory memory;
+    PrefixIndex memory;
     ManualClock clock;
     const std::uint64_t prefix = 1;
     for (std::uint64_t life = 1; life <= 1000; ++life) {
-        memory.note({&prefix, 1}, life, clock.now());
+        memory.recordUse({&prefix, 1}, life, clock.now());
         clock.advance(Seconds{1});
     }
-    CHECK(memory.livesOf(prefix) <= 65);
-    CHECK(memory.knownParts({&prefix, 1}, 1000, clock.now()) == 1);
+    CHECK(memory.holderCount(prefix) <= 65);
+    CHECK(memory.cachedParts({&prefix, 1}, 1000, clock.now()) == 1);
 }
 
 TEST_CASE("chainMemory_partUnusedForLong_isTakenAsDropped", "[routing]")
 {
     // An engine's memory is full with what came later. A router that still takes the part to be
     // there would send the chain to an engine that has to read it all.
-    ChainMemory memory;
+    PrefixIndex memory;
     ManualClock clock;
     const std::uint64_t part = 1;
-    memory.note({&part, 1}, 5, clock.now());
+    memory.recordUse({&part, 1}, 5, clock.now());
     clock.advance(cacheResidency);
-    CHECK(memory.knownParts({&part, 1}, 5, clock.now()) == 1);
+    CHECK(memory.cachedParts({&part, 1}, 5, clock.now()) == 1);
     clock.advance(Milliseconds{1});
-    CHECK(memory.knownParts({&part, 1}, 5, clock.now()) == 0);
+    CHECK(memory.cachedParts({&part, 1}, 5, clock.now()) == 0);
 }
 
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_homeIsFull_spillsToTheChainsNextAndNamesADonor",
@@ -308,12 +310,12 @@
     const auto next = this->choose(prompt);
     REQUIRE(next);
     CHECK(next->index != home);
-    CHECK(next->copyFrom == home);
-    CHECK(next->copiedTokens == 9000.0);
+    CHECK(next->transferSource == home);
+    CHECK(next->transferredTokens == 9000.0);
     CHECK(next->uncachedTokens == 0.0);
-    ChainMemory empty;
-    const std::vector<std::uint64_t> chain = chainOf(prompt);
-    const auto elsewhere = chooseUpstream(this->pointers, {"hall-b", 0, &prompt, chain, {}}, empty,
+    PrefixIndex empty;
+    const std::vector<std::uint64_t> chain = prefixHashesOf(prompt);
+    const auto elsewhere = selectUpstream(this->pointers, {"hall-b", 0, &prompt, chain, {}}, empty,
                                           this->policy, this->clock.now());
     REQUIRE(elsewhere);
     CHECK(elsewhere->index == next->index);
@@ -328,7 +330,7 @@
     const auto next = this->choose(prompt);
     REQUIRE(next);
     CHECK(next->index != home);
-    CHECK_FALSE(next->copyFrom);
+    CHECK_FALSE(next->transferSource);
 }
 
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_engineShouldHaveThePrompt_stillNamesADonor",
@@ -337,14 +339,14 @@
     // An engine may have dropped what it is taken to have; naming another one costs nothing then.
     const Prompt prompt = promptAbout(7);
     const std::size_t home = this->handToHome(prompt);
-    Choice second;
+    UpstreamSelection second;
     second.index = (home + 1) % 9;
     this->hand(second, prompt);
     const auto again = this->choose(prompt);
     REQUIRE(again);
     CHECK(again->index == home);
-    CHECK(again->copyFrom == second.index);
-    CHECK(again->copiedTokens == 0.0);
+    CHECK(again->transferSource == second.index);
+    CHECK(again->transferredTokens == 0.0);
 }
 
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_homeIsNew_copiesFromTheHomeBeforeIt", "[routing]")
@@ -358,13 +360,15 @@
         const auto choice = this->choose(prompt);
         REQUIRE(choice);
         before.push_back(choice->index);
-        this->memory.note(chainOf(prompt), lifeOf(this->pointers[choice->index]->replica),
-                          this->clock.now());
+        this->memory.recordUse(prefixHashesOf(prompt),
+                               incarnationOf(this->pointers[choice->index]->replica),
+                               this->clock.now());
     }
     this->addEngines(1);
     this->pointers.back()->replica.id = "newcomer";
-    const std::uint64_t prefix = chainOf(promptAbout(1)).front();
-    this->memory.note({&prefix, 1}, lifeOf(this->pointers.back()->replica), this->clock.now());
+    const std::uint64_t prefix = prefixHashesOf(promptAbout(1)).front();
+    this->memory.recordUse({&prefix, 1}, incarnationOf(this->pointers.back()->replica),
+                           this->clock.now());
     int moved = 0;
     for (std::uint64_t subject = 1; subject <= 90; ++subject) {
         this->pointers[before[subject - 1]]->ownRunning = 40;
@@ -373,8 +377,8 @@
         REQUIRE(choice);
         if (choice->index == 9) {
             ++moved;
-            CHECK(choice->copyFrom == before[subject - 1]);
-            CHECK(choice->copiedTokens > 0.0);
+            CHECK(choice->transferSource == before[subject - 1]);
+            CHECK(choice->transferredTokens > 0.0);
         }
     }
     CHECK(moved > 0);
@@ -385,20 +389,20 @@
     // A planned stop of an engine: its memory is good until it exits.
     const Prompt prompt = promptAbout(7);
     const std::size_t home = this->handToHome(prompt);
-    this->pointers[home]->replica.leaving = true;
+    this->pointers[home]->replica.draining = true;
     const auto next = this->choose(prompt);
     REQUIRE(next);
-    CHECK(next->copyFrom == home);
+    CHECK(next->transferSource == home);
 }
 
 TEST_CASE("chainMemory_onlyTheSharedPartHeardOf_standsForThoseBeforeIt", "[routing]")
 {
     // Other routers tell one word for a chain, not one for each of its parts.
-    ChainMemory memory;
+    PrefixIndex memory;
     ManualClock clock;
     const std::vector<std::uint64_t> chain{1, 2, 3};
-    memory.note({&chain[1], 1}, 5, clock.now());
-    CHECK(memory.knownParts(chain, 5, clock.now()) == 2);
+    memory.recordUse({&chain[1], 1}, 5, clock.now());
+    CHECK(memory.cachedParts(chain, 5, clock.now()) == 2);
     clock.advance(Seconds{3});
     CHECK(memory.wasUsed(2, 5, Seconds{3}, clock.now()));
     CHECK_FALSE(memory.wasUsed(2, 5, Seconds{2}, clock.now()));
@@ -411,9 +415,9 @@
     const Prompt prompt = promptAbout(7);
     const auto choice = this->choose(prompt);
     REQUIRE(choice);
-    CHECK(choice->isFirstRead);
+    CHECK(choice->isFirstPrefill);
     CHECK(choice->uncachedTokens == 9000.0);
-    CHECK(choice->expectedDelay >= 9000.0 / this->policy.figures.prefillRate);
+    CHECK(choice->expectedDelay >= 9000.0 / this->policy.performance.prefillRate);
 }
 
 // Guards against prefills that stall the streams of the busiest engine.
@@ -421,9 +425,9 @@
 {
     this->addEngines(2);
     this->policy.preferredUpstreams = false;
-    this->policy.orderRequests = 0.0;
-    this->policy.boundFactor = 10.0;
-    this->policy.figures.delayPerRunning = 0.0;
+    this->policy.preferenceStepRequests = 0.0;
+    this->policy.loadBoundFactor = 10.0;
+    this->policy.performance.delayPerRunning = 0.0;
     for (const std::size_t busy : {0U, 1U}) {
         this->pointers[busy]->ownRunning = 20;
         this->pointers[1 - busy]->ownRunning = 2;
@@ -436,15 +440,15 @@
 // Guards against transfers over links on which they take longer than prefill.
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_transferSlowerThanPrefill_prefills", "[routing]")
 {
-    this->policy.figures.prefillRate = 45.0;
-    this->policy.figures.transferRate = 15.0;
+    this->policy.performance.prefillRate = 45.0;
+    this->policy.performance.transferRate = 15.0;
     const Prompt prompt = promptAbout(7);
     const std::size_t home = this->handToHome(prompt);
     this->pointers[home]->ownRunning = 40;
     const auto next = this->choose(prompt);
     REQUIRE(next);
     CHECK(next->index != home);
-    CHECK_FALSE(next->copyFrom);
+    CHECK_FALSE(next->transferSource);
     CHECK(next->uncachedTokens == 9000.0);
 }
 
@@ -453,7 +457,7 @@
                  "[routing]")
 {
     this->addEngines(1);
-    this->policy.figures.holdTime = 2400.0;
+    this->policy.performance.slotHoldTime = 2400.0;
     this->pointers[0]->ownRunning = 48;
     const auto atLimit = this->choose(promptAbout(7));
     REQUIRE(atLimit);
@@ -461,35 +465,35 @@
     const auto queued = this->choose(promptAbout(7));
     REQUIRE(queued);
     CHECK(queued->expectedDelay - atLimit->expectedDelay
-          == Approx(2400.0 * 47.0 / 48.0 + 47.0 * this->policy.figures.delayPerRunning));
+          == Approx(2400.0 * 47.0 / 48.0 + 47.0 * this->policy.performance.delayPerRunning));
     CHECK(queued->occupancy == Approx(95.0 / 48.0));
 }
 
 TEST_CASE("chainMemory_sharedUses_givesTheNewestOfSharedPrefixesOnly", "[routing]")
 {
-    ChainMemory memory;
+    PrefixIndex memory;
     ManualClock clock;
     clock.advance(Seconds{60});
     const std::vector<std::uint64_t> chain{1, 2, 3};
-    memory.note(chain, 5, clock.now());
-    memory.noteShared(2, 5, clock.now());
-    memory.noteShared(4, 6, clock.now() - Seconds{1});
-    memory.noteShared(7, 6, clock.now() - cacheResidency - Seconds{1});
-    const auto uses = memory.sharedUses(10, clock.now());
+    memory.recordUse(chain, 5, clock.now());
+    memory.recordSharedUse(2, 5, clock.now());
+    memory.recordSharedUse(4, 6, clock.now() - Seconds{1});
+    memory.recordSharedUse(7, 6, clock.now() - cacheResidency - Seconds{1});
+    const auto uses = memory.recentSharedUses(10, clock.now());
     REQUIRE(uses.size() == 2);
     CHECK(uses[0].prefix == 2);
-    CHECK(uses[0].life == 5);
+    CHECK(uses[0].incarnation == 5);
     CHECK(uses[1].prefix == 4);
-    CHECK(memory.sharedUses(1, clock.now()).size() == 1);
+    CHECK(memory.recentSharedUses(1, clock.now()).size() == 1);
 }
 
 // Guards against an old report that makes a prefix look older than its last use.
 TEST_CASE("chainMemory_olderUseReported_keepsTheNewerOne", "[routing]")
 {
-    ChainMemory memory;
+    PrefixIndex memory;
     ManualClock clock;
     clock.advance(Seconds{60});
-    memory.noteShared(2, 5, clock.now());
-    memory.noteShared(2, 5, clock.now() - Seconds{5});
+    memory.recordSharedUse(2, 5, clock.now());
+    memory.recordSharedUse(2, 5, clock.now() - Seconds{5});
     CHECK(memory.wasUsed(2, 5, Seconds{1}, clock.now()));
 }
--- a/tests/wholepath.cpp
+++ b/tests/wholepath.cpp
@@ -13,7 +13,7 @@
 {
 protected:
     WholePathFixture()
-        : fleet(lowtherWith(ownPorts, 3))
+        : fleet(lowtherDeployment(ownPorts, 3))
     {
         REQUIRE(this->fleet.start());
     }
@@ -56,14 +56,15 @@
 
 TEST_CASE_METHOD(WholePathFixture, "router_badInput_refusesWithKindAndRanNo", "[wholepath]")
 {
-    CHECK(kindOf(this->fleet.chat(0, "no-such-token", "c", this->body("x"))) == "unauthorized");
-    CHECK(kindOf(this->fleet.chat(0, this->token, "c", {{"model", 1}})) == "bad-request");
+    CHECK(refusalKindOf(this->fleet.chat(0, "no-such-token", "c", this->body("x")))
+          == "unauthorized");
+    CHECK(refusalKindOf(this->fleet.chat(0, this->token, "c", {{"model", 1}})) == "bad-request");
     auto wrongModel = this->body("x");
     wrongModel["model"] = "other";
-    CHECK(kindOf(this->fleet.chat(0, this->token, "c", wrongModel)) == "not-found");
+    CHECK(refusalKindOf(this->fleet.chat(0, this->token, "c", wrongModel)) == "not-found");
     net::HttpCall call;
     call.url = "/nowhere";
-    CHECK(kindOf(this->fleet.call(0, call)) == "not-found");
+    CHECK(refusalKindOf(this->fleet.call(0, call)) == "not-found");
 }
 
 TEST_CASE_METHOD(WholePathFixture, "router_stopDuringChat_answersItWhole", "[wholepath]")
@@ -72,7 +73,7 @@
     // the router leaves the balancer first and its process only when nothing is in flight.
     auto longBody = this->body("long");
     longBody["max_tokens"] = 200;
-    net::HttpAnswer answer;
+    net::HttpResponse answer;
     std::thread caller([&] { answer = this->fleet.chat(0, this->token, "c", longBody); });
     CHECK(Fleet::eventually([&] {
         const auto status = nlohmann::json::parse(this->fleet.operatorPage(0, "/status").body);
@@ -115,12 +116,12 @@
     for (const net::HttpCall &call : calls) {
         const auto answer = this->fleet.call(0, call);
         CHECK(answer.status == 413);
-        CHECK(kindOf(answer) == "too-large");
+        CHECK(refusalKindOf(answer) == "too-large");
         CHECK(nlohmann::json::parse(answer.body)["error"]["ran"] == "no");
     }
     plain.headers["cookie"] = std::string(8192, 'c');
     CHECK(this->fleet.call(0, plain).status == 200);
     // What bounds the memory of a head: here the connection is closed.
     plain.headers["cookie"] = std::string(80 << 10, 'c');
-    CHECK(this->fleet.call(0, plain).end != net::HttpEnd::Whole);
+    CHECK(this->fleet.call(0, plain).outcome != net::HttpOutcome::Complete);
 }
--- a/tests/writerchoice.cpp
+++ b/tests/writerchoice.cpp
@@ -15,15 +15,16 @@
 class WriterChoiceFixture
 {
 protected:
-    AskStep step(std::uint64_t own = self)
+    ClaimRouteStep step(std::uint64_t own = self)
     {
-        return nextAskStep(this->route, this->silent, this->writers, own, this->limits, this->now);
+        return nextClaimRouteStep(this->route, this->silent, this->writers, own, this->limits,
+                                  this->now);
     }
 
     /// Lets the ask go unheard until a writer is passed over.
-    AskStep untilPassedOver()
+    ClaimRouteStep untilPassedOver()
     {
-        for (int ask = 0; ask < this->limits.unheardAsks; ++ask) {
+        for (int ask = 0; ask < this->limits.maxUnacknowledged; ++ask) {
             static_cast<void>(this->step());
         }
         return this->step();
@@ -31,7 +32,7 @@
 
     WriterLimits limits{3, 2, Milliseconds{100}, Milliseconds{250}, Milliseconds{2000}, 2};
     std::vector<std::uint64_t> writers{1, 2, 3};
-    AskRoute route;
+    ClaimRoute route;
     SilentWriters silent;
     TimePoint now{Seconds{1}};
 };
@@ -53,36 +54,37 @@
     // write each slice itself, and load it first.
     const auto members = fleetOf(24, 4);
     for (std::uint32_t slice = 0; slice < 64; ++slice) {
-        const auto writers = writersOf(slice, members, "place-2", WriterLimits{});
+        const auto writers = claimWritersOf(slice, members, "place-2", WriterLimits{});
         REQUIRE(writers.size() == 3);
         CHECK(std::set<std::size_t>(writers.begin(), writers.end()).size() == 3);
-        CHECK(members[writers[0]].place != members[writers[1]].place);
-        CHECK(std::any_of(writers.begin(), writers.end(),
-                          [&](std::size_t index) { return members[index].place == "place-2"; }));
+        CHECK(members[writers[0]].dataCentre != members[writers[1]].dataCentre);
+        CHECK(std::any_of(writers.begin(), writers.end(), [&](std::size_t index) {
+            return members[index].dataCentre == "place-2";
+        }));
     }
 }
 
 TEST_CASE("writersOf_smallFleet_namesWhoIsThere", "[claims]")
 {
-    CHECK(writersOf(1, {}, "place-0", WriterLimits{}).empty());
-    CHECK(writersOf(1, fleetOf(1, 1), "place-0", WriterLimits{}).size() == 1);
-    CHECK(writersOf(1, fleetOf(2, 1), "place-0", WriterLimits{}).size() == 2);
+    CHECK(claimWritersOf(1, {}, "place-0", WriterLimits{}).empty());
+    CHECK(claimWritersOf(1, fleetOf(1, 1), "place-0", WriterLimits{}).size() == 1);
+    CHECK(claimWritersOf(1, fleetOf(2, 1), "place-0", WriterLimits{}).size() == 2);
 }
 
 TEST_CASE_METHOD(WriterChoiceFixture, "ask_silentWriters_goesToTheNextThenIsWrittenHere",
                  "[claims]")
 {
-    const AskStep second = this->untilPassedOver();
-    CHECK(second.silent == 1);
-    CHECK(second.action == AskAction::Send);
+    const ClaimRouteStep second = this->untilPassedOver();
+    CHECK(second.silentWriter == 1);
+    CHECK(second.action == ClaimRouteAction::Send);
     CHECK(second.writer == 1);
     static_cast<void>(this->step());
-    const AskStep third = this->step();
-    CHECK(third.silent == 2);
+    const ClaimRouteStep third = this->step();
+    CHECK(third.silentWriter == 2);
     CHECK(third.writer == 2);
     static_cast<void>(this->step());
-    CHECK(this->step().action == AskAction::WriteHere);
-    CHECK(this->step().action == AskAction::WriteHere);
+    CHECK(this->step().action == ClaimRouteAction::WriteLocally);
+    CHECK(this->step().action == ClaimRouteAction::WriteLocally);
 }
 
 TEST_CASE_METHOD(WriterChoiceFixture, "ask_rememberedSilentWriter_isPassedOverUntilItsTime",
@@ -92,17 +94,17 @@
     this->route = {};
     CHECK(this->step().writer == 1);
     this->route = {};
-    this->now += this->limits.rememberSilent;
+    this->now += this->limits.silentWriterRetention;
     CHECK(this->step().writer == 0);
 }
 
 TEST_CASE_METHOD(WriterChoiceFixture, "ask_acknowledged_staysWithItsWriter", "[claims]")
 {
     for (int ask = 0; ask < 10; ++ask) {
-        const AskStep sent = this->step();
-        CHECK(sent.action == AskAction::Send);
+        const ClaimRouteStep sent = this->step();
+        CHECK(sent.action == ClaimRouteAction::Send);
         CHECK(sent.writer == 0);
-        hearWriter(this->route, this->silent);
+        recordWriterAck(this->route, this->silent);
     }
 }
 
@@ -110,31 +112,31 @@
 {
     // Two writers answer that they can't reach the platform. A third try would only take the
     // courier's time; the claim was never queued, so that "not run" is true.
-    for (int refusal = 0; refusal < this->limits.mostRefusals; ++refusal) {
-        CHECK(this->step().action == AskAction::Send);
-        refuseWriter(this->route);
+    for (int refusal = 0; refusal < this->limits.maxRefusals; ++refusal) {
+        CHECK(this->step().action == ClaimRouteAction::Send);
+        recordWriterRefusal(this->route);
     }
-    CHECK(this->step().action == AskAction::Refuse);
+    CHECK(this->step().action == ClaimRouteAction::Refuse);
 }
 
 TEST_CASE_METHOD(WriterChoiceFixture, "ask_ownRouterIsNext_isWrittenHere", "[claims]")
 {
-    CHECK(this->step(1).action == AskAction::WriteHere);
+    CHECK(this->step(1).action == ClaimRouteAction::WriteLocally);
 }
 
 TEST_CASE("paceOf_lostRaces_slowsDownWithinBounds", "[claims]")
 {
     ClaimLogLimits limits;
-    REQUIRE(limits.mostDoublings > 0);
-    CHECK(paceOf(limits, false, 5, 7) == limits.pace);
+    REQUIRE(limits.maxBackoffDoublings > 0);
+    CHECK(nextWriteInterval(limits, false, 5, 7) == limits.writeInterval);
     Duration highest{0};
     for (std::uint64_t seed = 0; seed < 2000; ++seed) {
         for (unsigned lost = 0; lost < 10; ++lost) {
-            const Duration pace = paceOf(limits, true, lost, seed);
-            REQUIRE(pace >= 2 * limits.pace);
+            const Duration pace = nextWriteInterval(limits, true, lost, seed);
+            REQUIRE(pace >= 2 * limits.writeInterval);
             highest = std::max(highest, pace);
         }
     }
-    CHECK(highest < limits.pace * (1U << limits.mostDoublings) * 3 / 2);
-    CHECK(paceOf(limits, true, 1, 1) != paceOf(limits, true, 1, 2));
+    CHECK(highest < limits.writeInterval * (1U << limits.maxBackoffDoublings) * 3 / 2);
+    CHECK(nextWriteInterval(limits, true, 1, 1) != nextWriteInterval(limits, true, 1, 2));
 }
