--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-/// Longest pause of a caller between two calls.
+/// Upper bound of a caller's random pause between two calls.
 constexpr std::int64_t longestPauseMilliseconds = 120;
-/// How long a caller waits for its whole answer.
+/// Time budget that a caller sends with its call; it waits an eighth longer for the response.
 constexpr Milliseconds budget{4000};
-/// Of so many calls one is left early, one goes to a new route, one uses a key that may be revoked.
+/// One in this many calls is abandoned early, goes to an added route, or uses a key that may have
+/// been revoked.
 constexpr std::uint64_t leavesOneOf = 25;
 constexpr std::uint64_t newRouteOneOf = 6;
 constexpr std::uint64_t otherKeyOneOf = 6;
-/// Of so many calls one is made on a new connection.
+/// One in this many calls is made on a new connection.
 constexpr std::uint64_t newConnectionOneOf = 5;
 constexpr Milliseconds connectLimit{1000};
 
@@ -46,9 +47,9 @@
     std::shared_ptr<gateway::UpstreamConnection> connection;
     CallRecord record;
     bool isBusy = false;
-    /// Calls that a caller of a crashing request has still to make.
+    /// Calls that a poison caller still has to make.
     std::size_t left = 0;
-    /// Counts the calls, so that a timer of an earlier one does nothing.
+    /// Number of calls started; lets a timer of an earlier call detect that it is outdated.
     std::uint64_t calls = 0;
 };
 
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -15,24 +15,26 @@
 
 namespace plantainswitch::soak {
 
-/// A router as callers know it.
+/// A router that callers can connect to.
 struct RouterTarget
 {
     Endpoint endpoint;
+    /// Number of restarts of its process.
     std::size_t incarnation = 0;
 };
 
-/// What callers may ask for at the moment.
+/// The routers, routes and API keys that callers currently choose from.
 struct CallerEnvironment
 {
     std::vector<RouterTarget> routers;
-    /// Versions that brought a route.
+    /// Configuration versions that added a route.
     std::vector<std::uint64_t> routeVersions;
-    /// The first one is never taken away.
+    /// API keys, revoked ones included; the first one is never revoked.
     std::vector<std::string> keys;
 };
 
-/// Many callers, each with one call at a time on a connection that it keeps for a while.
+/// Load generator: callers that each make one call at a time on a keep-alive connection, which they
+/// replace now and then.
 class SoakCallers
 {
 public:
@@ -40,9 +42,10 @@
                 std::uint64_t seed, SoakHistory &history, TimePoint begin);
 
     void start(std::size_t count);
-    /// Sends the same request \a times over, one after the other, which crashes whoever runs it.
+    /// Starts a caller that sends one request, which crashes every upstream that runs it, \a times
+    /// in succession.
     void startPoisonCaller(const std::string &poison, std::size_t times);
-    /// Lets running calls end and begins no more.
+    /// Starts no further calls; those under way continue.
     void stop() { this->isStopped = true; }
     [[nodiscard]] bool isIdle() const noexcept { return this->activeCalls == 0; }
 
--- a/tests/soak/documents.h
+++ b/tests/soak/documents.h
@@ -9,16 +9,17 @@
 
 namespace plantainswitch::soak {
 
-/// What the operator's configuration holds.
+/// Contents of the routing configuration that an operator writes to the store.
 struct ConfigDocument
 {
     std::uint64_t version = 1;
-    /// Versions that brought a route.
+    /// Versions that added a route, each named after its version.
     std::vector<std::uint64_t> routeVersions;
+    /// Valid API keys of the one workspace.
     std::vector<std::string> keys;
 };
 
-/// Where a router listens and whom it knows.
+/// Settings of one router.
 struct RouterDocument
 {
     std::string id;
@@ -27,18 +28,20 @@
     std::uint16_t readinessPort = 0;
     std::uint16_t datagramPort = 0;
     std::uint16_t callPort = 0;
+    /// Peer addresses of the routers that it contacts first.
     std::vector<std::string> seeds;
     Endpoint store;
     std::int64_t graceSeconds = 0;
     std::string logLevel = "info";
 };
 
-/// \returns the configuration as the platform's store holds it: a host with a route of each kind.
+/// \returns the configuration as JSON in the platform's format: one host with a route of each kind
+/// and the added routes.
 [[nodiscard]] std::string textOf(const ConfigDocument &config);
-/// \returns the entry of an upstream of the one service, as the store holds it.
+/// \returns the store entry of an upstream as JSON in the platform's format.
 [[nodiscard]] std::string upstreamEntry(const Endpoint &endpoint, const std::string &place,
                                         bool isLeaving);
-/// \returns a router's settings file.
+/// \returns the router's settings file.
 [[nodiscard]] std::string textOf(const RouterDocument &router);
 
 } // namespace plantainswitch::soak
--- a/tests/soak/history.cpp
+++ b/tests/soak/history.cpp
@@ -19,7 +19,7 @@
 using Violations = std::vector<Violation>;
 using RunsByAttempt = std::map<std::string, std::vector<const RunRecord *>>;
 
-/// \returns whether a harm touches the span, or ended less than \a recovery before it.
+/// \returns whether a fault overlaps the interval, or ended at most \a recovery before it.
 bool isHarmed(const std::vector<FaultInterval> &harms, SoakTime from, SoakTime to,
               Milliseconds recovery)
 {
@@ -70,7 +70,8 @@
     return all;
 }
 
-/// Each caller gets its own whole answer, and of a stream nothing but its beginning.
+/// A completed call returns exactly the response to itself after a run; a truncated one returns a
+/// prefix of it.
 void checkAnswers(const SoakHistory &history, const RunsByAttempt &runs, Violations &found)
 {
     for (const CallRecord &call : history.calls) {
@@ -80,15 +81,18 @@
         const std::string expected = wholeAnswer(call);
         const bool isWhole = call.outcome == CallOutcome::Completed;
         if (isWhole ? call.body != expected : !expected.starts_with(call.body)) {
-            found.push_back({"own-answer", describe(call) + " has another body"});
+            found.push_back(
+                {"own-answer",
+                 describe(call) + " has a body that belongs to another call or is damaged"});
         }
         if (isWhole && countOf(runs, call.attemptId) == 0) {
-            found.push_back({"own-answer", describe(call) + " was answered and never ran"});
+            found.push_back({"own-answer", describe(call) + " succeeded but never ran"});
         }
     }
 }
 
-/// What may run once runs once; "not run" is true, also afterwards; repeats are bounded.
+/// Non-idempotent calls run at most once, none runs that was answered with a "not executed" status,
+/// before or after it, and retries are bounded.
 void checkRuns(const SoakHistory &history, const RunsByAttempt &runs, const SoakBounds &bounds,
                Violations &found)
 {
@@ -100,7 +104,8 @@
         }
         if (call.kind == CallKind::NonIdempotent && count > 0
             && call.outcome == CallOutcome::Completed && notRun.contains(call.status)) {
-            found.push_back({"true-refusal", describe(call) + " was refused and has run"});
+            found.push_back(
+                {"true-refusal", describe(call) + " was reported as not executed but ran"});
         }
         if (count > bounds.maxRuns) {
             found.push_back({"most-runs", fmt::format("{} ran {} times", describe(call), count)});
@@ -108,6 +113,7 @@
     }
 }
 
+/// A draining upstream gets no new requests after the drain bound, unless a fault delayed the news.
 void checkDraining(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
 {
     std::map<std::string, std::size_t> routers;
@@ -126,8 +132,8 @@
                               bounds.recovery);
         if (!isExcused) {
             found.push_back(
-                {"draining", fmt::format("call {} reached {} at {} ms, which left at "
-                                         "{} ms",
+                {"draining", fmt::format("call {} reached {} at {} ms, which had been draining "
+                                         "since {} ms",
                                          run.attemptId, run.upstream, run.arrivedAt.count(),
                                          leaving->second.count())});
         }
@@ -140,14 +146,14 @@
            && call.status == statusOk;
 }
 
-/// \returns the version that took the call's key away, or 0.
+/// \returns the configuration version that revoked the call's key, or 0.
 std::uint64_t revokedBy(const SoakHistory &history, const CallRecord &call)
 {
     const auto found = history.revokedKeys.find(call.key);
     return found == history.revokedKeys.end() ? 0 : found->second;
 }
 
-/// \returns the version that must have been in force when the answer was decided, or 0.
+/// \returns a lower bound of the configuration version that the router applied to the call, or 0.
 std::uint64_t decidedWith(const SoakHistory &history, const CallRecord &call)
 {
     if (showsVersion(call)) {
@@ -156,7 +162,7 @@
     return call.status == statusUnauthorized ? revokedBy(history, call) : 0;
 }
 
-/// \returns the version before which the answer must have been decided, or 0.
+/// \returns the version that the router can't have applied yet when it handled the call, or 0.
 std::uint64_t decidedBefore(const SoakHistory &history, const CallRecord &call)
 {
     if (call.outcome != CallOutcome::Completed) {
@@ -168,10 +174,10 @@
     return call.status == statusOk ? revokedBy(history, call) : 0;
 }
 
-/// Within one lifetime of a router no answer shows an older configuration than one before it.
+/// Within one incarnation of a router its configuration version never decreases.
 void checkNoReturn(const SoakHistory &history, Violations &found)
 {
-    // By router and lifetime: when an effect of which version was first seen.
+    // By router and incarnation: when an effect of each version was first observed.
     std::map<std::pair<std::size_t, std::size_t>, std::map<std::uint64_t, SoakTime>> seen;
     for (const CallRecord &call : history.calls) {
         const std::uint64_t version = decidedWith(history, call);
@@ -190,8 +196,8 @@
         for (const auto &[version, at] : seen[{call.router, call.incarnation}]) {
             if (version >= before && at < call.sentAt) {
                 found.push_back(
-                    {"no-return", fmt::format("{} was decided by a version before {}, though "
-                                              "version {} was in force at {} ms",
+                    {"no-return", fmt::format("{} was handled with a version before {}, although "
+                                              "version {} was applied at {} ms",
                                               describe(call), before, version, at.count())});
                 break;
             }
@@ -199,6 +205,7 @@
     }
 }
 
+/// Every router applies a configuration version within the propagation bound.
 void checkInForce(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
 {
     std::map<std::uint64_t, SoakTime> acknowledged;
@@ -210,20 +217,20 @@
         if (version == acknowledged.end() || call.sentAt <= version->second + bounds.propagation) {
             continue;
         }
-        // A harm before or at the edit excuses no longer than the store or the router takes to
-        // recover from it.
+        // A fault exempts only calls sent during it or within its recovery time: one that ended
+        // around the edit must not excuse a router that stays outdated.
         const bool isExcused =
             isHarmed(history.storeFaults, call.sentAt, call.sentAt, bounds.recovery)
             || isRouterHarmed(history, call.router, call.sentAt, call.sentAt, bounds.recovery);
         if (!isExcused) {
             found.push_back(
-                {"in-force", fmt::format("{} was decided without version {} of {} ms",
+                {"in-force", fmt::format("{} was handled without version {}, written at {} ms",
                                          describe(call), version->first, version->second.count())});
         }
     }
 }
 
-/// What every version allows is never refused as unknown.
+/// Routes and keys that exist in every version are never rejected as unknown.
 void checkKnown(const SoakHistory &history, Violations &found)
 {
     for (const CallRecord &call : history.calls) {
@@ -231,11 +238,12 @@
             call.status == statusUnauthorized && revokedBy(history, call) == 0;
         const bool isUnknownRoute = call.status == statusNotFound && call.routeVersion == 0;
         if (isUnknownKey || isUnknownRoute) {
-            found.push_back({"known", describe(call) + " was refused as unknown"});
+            found.push_back({"known", describe(call) + " was rejected as unknown"});
         }
     }
 }
 
+/// The retries of all routers together stay within the retry budget.
 void checkRetries(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
 {
     std::vector<SoakTime> requests;
@@ -265,14 +273,14 @@
         const auto again = within(repeats, from, to);
         if (static_cast<double>(again)
             > bounds.retryRatio * static_cast<double>(sent) + bounds.retryMargin) {
-            found.push_back({"retry-budget", fmt::format("{} repeats for {} calls from {} ms on",
+            found.push_back({"retry-budget", fmt::format("{} retries for {} calls from {} ms on",
                                                          again, sent, from.count())});
             return;
         }
     }
 }
 
-/// A planned stop cuts nothing that the router has read, as long as nothing else is harmed.
+/// A graceful stop truncates no call that the router has read, unless another fault is active.
 void checkPlannedStops(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
 {
     for (const CallRecord &call : history.calls) {
@@ -288,12 +296,12 @@
             isHarmed(history.upstreamFaults, call.sentAt, call.endedAt, bounds.recovery)
             || isRouterHarmed(history, call.router, call.sentAt, call.endedAt, bounds.recovery);
         if (isAmidStop && !isExcused) {
-            found.push_back({"planned-stop", describe(call) + " was cut by a planned stop"});
+            found.push_back({"planned-stop", describe(call) + " was truncated by a graceful stop"});
         }
     }
 }
 
-/// Nobody works on for a caller that has left.
+/// No upstream continues a run for long after its caller has abandoned the call.
 void checkLeaving(const SoakHistory &history, const RunsByAttempt &runs, const SoakBounds &bounds,
                   Violations &found)
 {
@@ -311,13 +319,14 @@
             const bool isExcused =
                 isHarmed(history.upstreamFaults, call.sentAt, until, bounds.recovery);
             if (until > call.endedAt + bounds.cancellation && !isExcused) {
-                found.push_back({"after-leaving", describe(call) + " was worked on"});
+                found.push_back({"after-leaving",
+                                 describe(call) + " still ran after its caller had abandoned it"});
             }
         }
     }
 }
 
-/// A request that crashes whoever runs it is held back.
+/// A request that crashes upstreams is quarantined before it has crashed too many.
 void checkCrashers(const SoakHistory &history, const RunsByAttempt &runs, const SoakBounds &bounds,
                    Violations &found)
 {
@@ -334,6 +343,7 @@
     }
 }
 
+/// After all faults have ended, calls succeed again.
 void checkCalm(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
 {
     std::size_t asked = 0;
@@ -349,7 +359,7 @@
     }
     if (static_cast<double>(served) < bounds.minSuccessShare * static_cast<double>(asked)) {
         found.push_back(
-            {"calm", fmt::format("{} of {} calls were served after all harm", served, asked)});
+            {"calm", fmt::format("{} of {} calls succeeded after all faults", served, asked)});
     }
 }
 
--- a/tests/soak/history.h
+++ b/tests/soak/history.h
@@ -14,55 +14,56 @@
 /// Time since the start of the soak.
 using SoakTime = Milliseconds;
 
-/// What a call asks for.
+/// Kind of the route that a call uses.
 enum class CallKind : std::uint8_t { Idempotent, NonIdempotent, Stream };
 
-/// How a call ended for its caller.
+/// How a call ended from its caller's point of view.
 enum class CallOutcome : std::uint8_t {
-    /// A whole answer, of any status.
+    /// A complete response of any status arrived.
     Completed,
-    /// No connection to the router came about.
+    /// No connection to the router could be opened.
     NotConnected,
-    /// The connection ended, or the answer was no answer, before it was whole.
+    /// The connection ended, or sent something that is not HTTP, before the response was complete.
     Truncated,
-    /// The caller left by its own will, or at the end of its time.
+    /// The caller closed the connection, early on purpose or when its time was over.
     Abandoned,
 };
 
-/// One call as its caller saw it.
+/// One call as observed by its caller.
 struct CallRecord
 {
     std::string attemptId;
     CallKind kind = CallKind::Idempotent;
     std::size_t router = 0;
-    /// Which start of the router's process took it.
+    /// Number of restarts of the router's process when the call was made.
     std::size_t incarnation = 0;
-    /// Configuration version that brought its route; 0: the route was always there.
+    /// Configuration version that added its route; 0 for a route of the first version.
     std::uint64_t routeVersion = 0;
     std::string key;
-    /// Upstreams crash on it; calls with the same mark are the same request sent again.
+    /// Identifies a request that crashes upstreams; calls with the same id repeat one request.
+    /// Empty for all others.
     std::string poisonId;
     SoakTime sentAt{0};
     SoakTime endedAt{0};
     CallOutcome outcome = CallOutcome::Truncated;
     int status = 0;
-    /// Body of an answer, or the pieces of a stream, as far as they came.
+    /// Response body, as far as it was received.
     std::string body;
 };
 
-/// One run of a call at an upstream.
+/// One execution of a call by an upstream.
 struct RunRecord
 {
     std::string attemptId;
     std::string upstream;
     SoakTime arrivedAt{0};
-    /// Nothing: it was still running at the end.
+    /// Empty if it was still running when the soak ended.
     std::optional<SoakTime> endedAt;
-    /// The upstream turned it away unrun.
+    /// The upstream rejected it without executing it.
     bool isRejected = false;
 };
 
-/// A span in which something outside was harmed.
+/// Time in which a fault was injected.
 struct FaultInterval
 {
     SoakTime from{0};
@@ -76,71 +77,73 @@
     SoakTime acknowledgedAt{0};
 };
 
-/// All that callers, upstreams and the store saw in one soak.
+/// Everything that callers, upstreams and the store observed in one soak.
 struct SoakHistory
 {
     std::vector<CallRecord> calls;
     std::vector<RunRecord> runs;
     std::vector<VersionRecord> versions;
-    /// Keys that were taken away, and by which version.
+    /// Revoked API keys and the configuration version that revoked each.
     std::map<std::string, std::uint64_t> revokedKeys;
-    /// When the store acknowledged that an upstream leaves.
+    /// When the store acknowledged that an upstream is draining, by upstream.
     std::map<std::string, SoakTime> drainingSince;
-    /// Harm to each router or its path to the store.
+    /// Faults of each router or its connection to the store.
     std::map<std::size_t, std::vector<FaultInterval>> routerFaults;
-    /// Harm to the store itself, and to any upstream or its links.
+    /// Faults of the store itself, and of any upstream or its links.
     std::vector<FaultInterval> storeFaults;
     std::vector<FaultInterval> upstreamFaults;
-    /// Routers that were stopped as planned, and when.
+    /// When each router was asked to stop gracefully.
     std::map<std::size_t, std::vector<SoakTime>> plannedStops;
-    /// Processes that ended by themselves.
+    /// Router processes that ended without having been stopped, in words.
     std::vector<std::string> unexpectedExits;
-    /// From when on nothing is harmed any more.
+    /// From this time on no fault is active.
     SoakTime faultFreeFrom{0};
     SoakTime end{0};
 };
 
-/// A promise that was broken.
+/// A violated guarantee.
 struct Violation
 {
+    /// Name of the check that failed.
     std::string check;
     std::string description;
 };
 
-/// Bounds of the checks; generous, since they are judged on a machine of unknown load.
+/// Bounds of the checks; generous, because they also have to hold on a loaded machine.
 struct SoakBounds
 {
-    /// From the store's word of an upstream's leaving to its last new request.
+    /// From the store's acknowledgement that an upstream drains to the last new request it may get.
     Milliseconds drain{6000};
-    /// From a version's acknowledgement to its being in force.
+    /// From the store's acknowledgement of a configuration version until all routers must apply it.
     Milliseconds propagation{6000};
-    /// How long after its harm a router or the store is still excused.
+    /// How long after a fault's end a router or the store is still exempt from the checks.
     Milliseconds recovery{6000};
-    /// How long an upstream may work on for a caller that has left.
+    /// How long an upstream may continue a run that its caller has abandoned.
     Milliseconds cancellation{5000};
+    /// Retry budget of the whole fleet: retryRatio of the calls in retryWindow, plus retryMargin.
     double retryRatio = 0.2;
     double retryMargin = 60.0;
     Milliseconds retryWindow{10'000};
-    /// Most upstreams on which a call that may be repeated runs.
+    /// Most runs of one call, retries included.
     std::size_t maxRuns = 3;
-    /// Most upstreams that one crashing request, sent again and again, takes down: those that it
-    /// takes to be held back, and some more while routers hear of it or are restarted.
+    /// Most upstreams that one poison request may crash when it is sent repeatedly: those needed
+    /// for its quarantine, and some more while the routers learn of it or are restarted.
     std::size_t maxCrashes = 9;
-    /// Share of the calls in the calm after all harm that must be answered well.
+    /// Share of the calls after all faults that must succeed.
     double minSuccessShare = 0.9;
 };
 
-/// Requests whose body begins so crash the upstream that runs them.
+/// A request whose body starts with this crashes the upstream that runs it.
 inline constexpr std::string_view poisonBodyPrefix = "poison";
 
-/// \returns the body that an upstream answers \a attempt with.
+/// \returns the response body that an upstream sends for a non-streaming call; unique to the call.
 [[nodiscard]] std::string responseBodyFor(std::string_view attempt);
-/// \returns piece \a number of the stream that answers \a attempt.
+/// \returns server-sent event \a number, counted from 1, of the response to a streaming call.
 [[nodiscard]] std::string streamEventFor(std::string_view attempt, std::size_t number);
-/// \returns how many pieces that stream has.
+/// \returns how many events that response has.
 [[nodiscard]] std::size_t streamEventCount(std::string_view attempt);
 
-/// \returns all promises that \a history breaks.
+/// \returns all violations of the proxy's guarantees that \a history shows.
 [[nodiscard]] std::vector<Violation> checkHistory(const SoakHistory &history,
                                                   const SoakBounds &bounds);
 
--- a/tests/soak/link.cpp
+++ b/tests/soak/link.cpp
@@ -43,7 +43,7 @@
     asio::ip::tcp::socket client;
     asio::ip::tcp::socket server;
     std::array<std::array<char, readSize>, 2> buffers{};
-    /// What a silenced direction swallowed; a connection that lost bytes can't go on.
+    /// Whether bytes were dropped; such a connection can't be used again.
     bool lostBytes = false;
 };
 
--- a/tests/soak/link.h
+++ b/tests/soak/link.h
@@ -11,11 +11,11 @@
 
 namespace plantainswitch::soak {
 
-/// Which bytes a link lets through.
+/// In which directions a link forwards bytes; it drops them in the others.
 enum class LinkMode : std::uint8_t { Forward, DropBoth, DropToServer, DropToClient };
 
-/// A proxy on loopback between a router and a server, which delays, silences, cuts one way or
-/// resets what goes through it.
+/// A TCP proxy on loopback between a router and a server that can delay or drop bytes, in one
+/// direction or both, and reset connections.
 class FaultyLink
 {
 public:
@@ -23,11 +23,11 @@
 
     void setMode(LinkMode newMood);
     void setDelay(Milliseconds newDelay) { this->delay = newDelay; }
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     void resetConnections();
-    /// Takes no connections, as the address of a process that has ended.
+    /// Refuses connections, as the address of a dead process does.
     void stopListening();
-    /// Takes connections again after refuse().
+    /// Accepts connections again after stopListening().
     void resumeListening();
 
 private:
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -19,10 +19,11 @@
 constexpr int exitBroken = 1;
 constexpr int exitBadInput = 2;
 constexpr std::size_t mostPrinted = 20;
-/// The plan that was played, in the folder of its logs.
+/// Name of the file in the log directory to which the plan is written.
 constexpr const char *planFile = "plan.txt";
 
-/// Prints how calls ended, so that a soak in which nothing was asked doesn't pass for a good one.
+/// Prints how many calls ended in which way, so that a soak whose calls reached nothing is not
+/// mistaken for a successful one.
 void printEnds(const SoakHistory &history)
 {
     std::map<std::string, std::size_t> ends;
@@ -49,11 +50,11 @@
     std::cout << "\n";
 }
 
-/// What is played, and where.
+/// Command-line options.
 struct Session
 {
     SoakOptions options;
-    /// Plays this plan instead of that of the seed.
+    /// Replaces the plan generated from the seed.
     std::optional<std::vector<FaultStep>> plan;
     std::string program;
     std::filesystem::path logs;
@@ -67,14 +68,14 @@
         std::cout << "  " << found[i].check << ": " << found[i].description << "\n";
     }
     const SoakOptions &options = session.options;
-    std::cout << "  again: plantain-soak --program PLANTAIND --seed " << options.seed
+    std::cout << "  rerun: plantain-soak --program PLANTAIND --seed " << options.seed
               << " --seconds " << options.faultSeconds << " --routers " << options.routers
               << " --upstreams " << options.upstreams << " --callers " << options.callers
               << " --plan " << (directory / planFile).string() << "\n  logs: " << directory.string()
               << std::endl;
 }
 
-/// Plays one seed. \returns whether every promise held.
+/// Runs the soak of one seed. \returns whether no guarantee was violated.
 bool playOne(const Session &session)
 {
     const std::filesystem::path directory =
@@ -88,8 +89,8 @@
     const SoakHistory &history = soak.run();
     const std::vector<Violation> found = checkHistory(history, SoakBounds{});
     std::cout << "seed " << session.options.seed << ": " << history.calls.size() << " calls, "
-              << history.runs.size() << " runs, " << plan.size() << " harms, " << found.size()
-              << " promises broken\n";
+              << history.runs.size() << " runs, " << plan.size() << " faults, " << found.size()
+              << " guarantees violated\n";
     printEnds(history);
     std::cout << std::flush;
     if (!found.empty()) {
@@ -118,25 +119,29 @@
     std::string plan;
     std::uint64_t seeds = 1;
     options::options_description described(
-        "plantain-soak: router processes under harm from outside, checked by what callers and "
-        "upstreams see");
+        "plantain-soak: injects faults around router processes and checks what callers and "
+        "upstreams observe");
     described.add_options()("help", "show this text")(
         "program", options::value(&session.program)->required(),
         "path of plantaind")("logs", options::value(&logs)->default_value("soak-logs"),
-                             "folder for settings and logs; kept for seeds that break a promise")(
-        "seed", options::value(&chosen.seed)->default_value(chosen.seed), "first seed")(
-        "seeds", options::value(&seeds)->default_value(seeds), "how many seeds, one after another")(
+                             "directory for settings and logs; kept for seeds that fail")(
+        "seed", options::value(&chosen.seed)->default_value(chosen.seed),
+        "first seed")("seeds", options::value(&seeds)->default_value(seeds),
+                      "number of consecutive seeds to run")(
         "seconds", options::value(&chosen.faultSeconds)->default_value(chosen.faultSeconds),
-        "seconds with harm; about 20 of calm follow")(
-        "routers", options::value(&chosen.routers)->default_value(chosen.routers), "routers")(
-        "upstreams", options::value(&chosen.upstreams)->default_value(chosen.upstreams),
-        "upstreams")("callers", options::value(&chosen.callers)->default_value(chosen.callers),
-                     "callers")("pause",
-                                options::value(&chosen.meanFaultIntervalSeconds)
-                                    ->default_value(chosen.meanFaultIntervalSeconds),
-                                "mean pause between harms, in seconds")(
+        "seconds in which faults are injected; about 20 without faults follow")(
+        "routers", options::value(&chosen.routers)->default_value(chosen.routers),
+        "number of routers")("upstreams",
+                             options::value(&chosen.upstreams)->default_value(chosen.upstreams),
+                             "number of upstreams")(
+        "callers", options::value(&chosen.callers)->default_value(chosen.callers),
+        "callers")("pause",
+                   options::value(&chosen.meanFaultIntervalSeconds)
+                       ->default_value(chosen.meanFaultIntervalSeconds),
+                   "mean time between two faults, in seconds")(
         "plan", options::value(&plan),
-        "file with the harms to play instead of the seed's own")("keep", "keep all logs");
+        "file with the faults to inject instead of those generated from the seed")(
+        "keep", "keep the logs of seeds that pass too");
     options::variables_map given;
     try {
         options::store(options::parse_command_line(argc, argv, described), given);
@@ -150,11 +155,13 @@
         return exitBadInput;
     }
     if (chosen.routers == 0 || chosen.upstreams == 0 || chosen.meanFaultIntervalSeconds <= 0.0) {
-        std::cerr << "routers, upstreams and the pause must be above 0\n";
+        std::cerr << "--routers, --upstreams and --pause must be above 0\n";
         return exitBadInput;
     }
     if (!plan.empty() && !(session.plan = readPlan(plan))) {
-        std::cerr << plan << " can't be read as a plan\n";
+        std::cerr << plan
+                  << ": can't be read, or a line is not \"MILLISECONDS FAULT TARGET DURATION "
+                     "INTENSITY\"\n";
         return exitBadInput;
     }
     session.logs = logs;
@@ -165,7 +172,7 @@
         broken += playOne(session) ? 0 : 1;
         ++chosen.seed;
     }
-    std::cout << seeds - broken << " of " << seeds << " seeds kept every promise" << std::endl;
+    std::cout << seeds - broken << " of " << seeds << " seeds passed" << std::endl;
     return broken == 0 ? exitOk : exitBroken;
 }
 
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -25,7 +25,7 @@
 constexpr std::int64_t shortestSpan = 200;
 constexpr std::int64_t longestSpan = 3500;
 
-/// Deals all kinds out once, in a drawn order, before it begins anew.
+/// Draws all kinds once in random order before it repeats any.
 class KindDeck
 {
 public:
--- a/tests/soak/plan.h
+++ b/tests/soak/plan.h
@@ -10,20 +10,20 @@
 
 namespace plantainswitch::soak {
 
-/// What a soak plays.
+/// Parameters of a soak.
 struct SoakOptions
 {
     std::uint64_t seed = 1;
-    /// Time with harm; a calm follows it.
+    /// Time in which faults are injected; a time without faults follows.
     double faultSeconds = 20.0;
     std::size_t routers = 4;
     std::size_t upstreams = 8;
     std::size_t callers = 24;
-    /// Mean pause between two harms.
+    /// Mean time between two faults.
     double meanFaultIntervalSeconds = 0.5;
 };
 
-/// What is done from outside.
+/// A fault that is injected, or a change that an operator or a caller makes.
 enum class FaultKind : std::uint8_t {
     RouterKill,
     RouterPause,
@@ -60,25 +60,26 @@
 inline constexpr std::size_t faultKindCount = static_cast<std::size_t>(FaultKind::PoisonCall) + 1;
 [[nodiscard]] std::string_view nameOf(FaultKind kind) noexcept;
 
-/// One harm: when, to whom, for how long, how strong.
+/// One fault of a plan.
 struct FaultStep
 {
     SoakTime at{0};
     FaultKind kind = FaultKind::RouterKill;
-    /// Number of the router or upstream.
+    /// Selects the router or upstream: its number modulo how many there are.
     std::size_t target = 0;
     Milliseconds duration{0};
-    /// From 0 to 1.
+    /// From 0 to 1, such as the share of requests that fail.
     double intensity = 0.0;
 };
 
-/// \returns the steps of a soak, in order of time; equal for equal options. Kinds are drawn so that
-/// each comes up before any comes again, and overlap as they fall.
+/// \returns the steps of a soak in order of time; equal for equal options. Every kind is drawn once
+/// before any is drawn again. Steps may overlap.
 [[nodiscard]] std::vector<FaultStep> generatePlan(const SoakOptions &options);
 
-/// \returns the plan as text, a line for each step.
+/// \returns the plan as text, one line per step.
 [[nodiscard]] std::string textOf(const std::vector<FaultStep> &plan);
-/// \returns the plan that \a text holds, or nothing when a line can't be read.
+/// \returns the plan in \a text, or nothing if a line is invalid. Skips empty lines and those that
+/// start with '#'.
 [[nodiscard]] std::optional<std::vector<FaultStep>> parsePlan(const std::string &text);
 
 } // namespace plantainswitch::soak
--- a/tests/soak/process.cpp
+++ b/tests/soak/process.cpp
@@ -29,9 +29,10 @@
 
 void RouterProcess::start()
 {
-    // Until its first instruction a process has the system's dispositions, by which a reload or a
-    // stop ends it: a supervisor that may send them at any time starts it so. They stay pending.
-    // Blocked before the fork, as the process may be signalled before it runs at all.
+    // Until the router installs its handlers, the default disposition of SIGHUP and SIGTERM would
+    // end it. A supervisor that may send them at any time has to start it with both blocked, so
+    // that they stay pending. They are blocked before the fork, because the child may be signalled
+    // before its first instruction.
     gateway::blockHandledSignals();
     const pid_t started = fork();
     if (started != 0) {
@@ -47,7 +48,7 @@
     const int output = open(this->log.c_str(), O_WRONLY | O_CREAT | O_APPEND, logMode);
     dup2(output, STDOUT_FILENO);
     dup2(output, STDERR_FILENO);
-    // The soak's own sockets would stay open in the router, and their addresses taken.
+    // The soak's sockets would otherwise stay open in the router and keep their addresses in use.
     close_range(STDERR_FILENO + 1, ~0U, 0);
     execl(this->program.c_str(), this->program.c_str(), "--dialect", "platform", "--config",
           this->settings.c_str(), static_cast<char *>(nullptr));
--- a/tests/soak/process.h
+++ b/tests/soak/process.h
@@ -7,13 +7,13 @@
 
 namespace plantainswitch::soak {
 
-/// A router's process: started, signalled and reaped by its id.
+/// A router process. Killed and reaped by the destructor if it still runs.
 class RouterProcess
 {
 public:
     /// \param program path of plantaind
     /// \param settings path of its settings file
-    /// \param log file to which its output is appended
+    /// \param log file to which its standard output and error are appended
     RouterProcess(std::string program, std::string settings, std::string log)
         : program(std::move(program))
         , settings(std::move(settings))
@@ -24,12 +24,13 @@
     RouterProcess &operator=(const RouterProcess &) = delete;
 
     void start();
-    /// Sends \a number if the process runs.
+    /// Sends signal \a number if the process runs.
     void signal(int number);
-    /// \returns the system's id of the process, above 0 while it runs.
+    /// \returns the process id, or 0 if no process runs.
     [[nodiscard]] pid_t processId() const noexcept { return this->pid; }
     [[nodiscard]] bool isRunning() const noexcept { return this->pid > 0; }
-    /// \returns how the process ended, if it has since the last call; it doesn't run any more then.
+    /// Reaps the process if it has ended. \returns "exit N" or "signal N", or nothing if it still
+    /// runs or was never started.
     std::optional<std::string> reap();
 
 private:
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -21,26 +21,26 @@
 constexpr std::uint16_t storeLinkPort = 7106;
 constexpr std::uint16_t upstreamPort = 7107;
 constexpr std::uint16_t linkPort = 7108;
-/// Last numbers of the loopback addresses: the store, routers from here on, upstreams likewise.
+/// Last octets of the loopback addresses; routers and upstreams are numbered from theirs on.
 constexpr std::size_t storeHost = 1;
 constexpr std::size_t firstRouterHost = 10;
 constexpr std::size_t firstUpstreamHost = 100;
 constexpr std::size_t mostUpstreams = 150;
 constexpr std::size_t keyCount = 24;
-/// Time for the routers to start and find everything before callers come.
+/// Time for the routers to start and discover everything before callers start.
 constexpr Milliseconds warmUp{1500};
-/// Calm at the end, beyond what the checks allow for recovery.
+/// Time without faults at the end; longer than the recovery time of the checks.
 constexpr Milliseconds calmSpan{9000};
 constexpr Milliseconds lastAnswers{6000};
 constexpr Milliseconds watchPause{20};
-/// A stop may take so long; the settings say the same.
+/// Grace period of a stop in the routers' settings.
 constexpr std::int64_t graceSeconds = 6;
-/// How long a leaving upstream still serves.
+/// How long a draining upstream still serves.
 constexpr Milliseconds leavingSpan{9000};
-/// How long an upstream is down that a request has crashed.
+/// How long an upstream that a request has crashed stays down.
 constexpr Milliseconds crashedSpan{1500};
 constexpr std::size_t crasherTimes = 20;
-/// From the return of a silent store to the edit that follows it.
+/// Delay of the edit that follows the end of StoreUnresponsive.
 constexpr Milliseconds editDelay{50};
 
 } // namespace
@@ -62,7 +62,7 @@
 
 Endpoint Soak::endpointOf(std::size_t host, std::uint16_t port) const
 {
-    // A net of its own for each process, so that several soaks run side by side.
+    // Each process uses its own subnet, so that several soaks can run in parallel.
     const auto process = static_cast<std::uint32_t>(getpid());
     constexpr std::uint32_t nets = 250;
     return {fmt::format("127.{}.{}.{}", 1 + process / nets % nets, 1 + process % nets, host), port};
@@ -113,7 +113,7 @@
     made.link = std::make_unique<FaultyLink>(
         this->context, this->endpointOf(firstUpstreamHost + slot, linkPort), own);
     made.upstream->onCrash([this, slot] {
-        // After the request's own turn, which still uses the upstream.
+        // Deferred, because the caller of this handler still uses the upstream.
         this->runAfter(Milliseconds{0}, [this, slot] {
             this->history.upstreamFaults.push_back({this->now(), this->now() + crashedSpan});
             this->crashUpstream(slot, crashedSpan);
@@ -180,7 +180,7 @@
     }
     const auto harmful =
         warmUp + SoakTime{static_cast<std::int64_t>(this->options.faultSeconds * 1000)};
-    // The last harms last on for a while.
+    // The last faults take up to this long to end.
     this->history.faultFreeFrom = harmful + Milliseconds{4000};
     this->runAfter(this->history.faultFreeFrom + calmSpan, [this] { this->callers->stop(); });
     this->runAfter(this->history.faultFreeFrom + calmSpan + lastAnswers, [this] {
@@ -288,7 +288,8 @@
         if (!router.isExitExpected
             || (router.isStopping && *end != "exit 0" && !end->starts_with("signal 9"))) {
             this->history.unexpectedExits.push_back(
-                fmt::format("router {} ended with {} at {} ms", number, *end, this->now().count()));
+                fmt::format("router {} ended unexpectedly with {} at {} ms", number, *end,
+                            this->now().count()));
         }
         const bool isHandled = router.isExitExpected && !router.isStopping;
         if (!isHandled) {
@@ -342,7 +343,7 @@
     if (this->upstreams.size() >= mostUpstreams) {
         return;
     }
-    // The new one serves before the old one leaves.
+    // The replacement is registered before the old upstream drains.
     this->addUpstream();
     std::erase(this->activeUpstreams, slot);
     this->registerUpstream(slot, true);
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -17,8 +17,8 @@
 
 namespace plantainswitch::soak {
 
-/// Router processes between callers, upstreams and a store that are played here, all on loopback,
-/// with links between them that can be harmed.
+/// Runs router processes between simulated callers, upstreams and a store, all on loopback, and
+/// injects faults into them and the links between them.
 class Soak
 {
 public:
@@ -28,7 +28,7 @@
          std::filesystem::path directory);
     ~Soak();
 
-    /// Plays the whole plan and the calm after it. \returns all that was seen.
+    /// Runs the whole plan and the time without faults after it. \returns everything observed.
     const SoakHistory &run();
 
 private:
@@ -37,7 +37,7 @@
         Endpoint callers;
         std::unique_ptr<FaultyLink> storeLink;
         std::unique_ptr<RouterProcess> process;
-        /// It was told to end, or killed, by the soak.
+        /// The soak has killed it or asked it to stop.
         bool isExitExpected = false;
         bool isStopping = false;
     };
@@ -58,14 +58,18 @@
     void injectLinkFault(const FaultStep &step, std::size_t slot);
     void injectStoreFault(const FaultStep &step, std::size_t router);
     void applyConfigOrCallStep(const FaultStep &step);
-    /// Writes the configuration anew, with one more route or one key less.
+    /// Writes a new configuration version with one route added or one API key revoked. \a choice
+    /// selects the size of the version step.
     void editConfig(std::size_t choice, bool addsRoute);
     void killRouter(std::size_t number, Milliseconds down);
     void stopRouter(std::size_t number);
     void restartRouter(std::size_t number);
+    /// Makes the store unavailable and removes all upstream entries, as when their leases expire
+    /// during an outage; the upstreams register again some time after it.
     void expireRegistrations(const FaultStep &step);
-    /// Ends an upstream as a crash does: its address refuses connections until it is back.
+    /// Ends an upstream as a crash does: its address refuses connections for \a down.
     void crashUpstream(std::size_t slot, Milliseconds down);
+    /// Registers a replacement, marks the upstream as draining and later removes it.
     void drainUpstream(std::size_t slot);
     void superviseRouters();
     void runAfter(Milliseconds delay, std::function<void()> work);
@@ -86,7 +90,7 @@
     std::unique_ptr<SoakStore> store;
     std::vector<Router> routers;
     std::vector<UpstreamNode> upstreams;
-    /// Upstreams that take work, by their numbers in slots.
+    /// Indexes in upstreams of those that aren't draining.
     std::vector<std::size_t> activeUpstreams;
     std::unique_ptr<SoakCallers> callers;
     bool isFinished = false;
--- a/tests/soak/store.cpp
+++ b/tests/soak/store.cpp
@@ -16,9 +16,9 @@
 constexpr int statusGone = 410;
 constexpr int statusBusy = 503;
 constexpr std::string_view objectsPath = "/objects/";
-/// Longest wait of a watch.
+/// Maximum time that a watch waits for a change.
 constexpr Milliseconds watchLimit{20'000};
-/// How old lists are that may be stale.
+/// Age of the contents in lists that allow staleness (serializable=1).
 constexpr Milliseconds staleness{2000};
 constexpr std::size_t headBytes = 16 << 10;
 
@@ -85,7 +85,7 @@
 {
     this->mode = newMood;
     if (newMood == StoreMode::Unresponsive) {
-        // Watches that wait are lost: their connections live, and nobody will answer them.
+        // Pending watches are lost: their connections stay open but never get a response.
         this->watchers.clear();
     }
     std::vector<std::uint64_t> waiting;
--- a/tests/soak/store.h
+++ b/tests/soak/store.h
@@ -17,26 +17,26 @@
 
 namespace plantainswitch::soak {
 
-/// What the store does with calls.
+/// How the store treats requests: it answers, ignores or rejects them, or resets their connections.
 enum class StoreMode : std::uint8_t { Healthy, Unresponsive, Unavailable, ResetsConnections };
 
-/// A stand-in of the platform's store: lists, watches and conditional-free writes of objects, and
-/// the ways in which it misbehaves.
+/// A simulated object store of the platform: lists, long-poll watches and unconditional writes,
+/// with the faults that the real one may show.
 class SoakStore
 {
 public:
     SoakStore(asio::io_context &context, const Clock &clock, const Endpoint &endpoint,
               std::uint64_t seed);
 
-    /// Writes an object as the operator or an upstream does.
+    /// Creates or replaces an object, as an operator or an upstream does.
     void put(const std::string &kind, const std::string &name, const std::string &spec);
     void remove(const std::string &kind, const std::string &name);
 
     void setMode(StoreMode newMood);
     void setDelay(Milliseconds newDelay) { this->delay = newDelay; }
-    /// Share of the calls whose answer is lost.
+    /// Sets the share of requests whose response is lost; lost writes are still applied.
     void setLossShare(double share) { this->lossShare = share; }
-    /// Drops the history, and cuts whoever watches.
+    /// Discards the change history and aborts all watches; watches from older revisions get 410.
     void dropHistory();
 
 private:
@@ -59,7 +59,7 @@
 
     using Objects = std::map<std::string, std::map<std::string, Object>>;
 
-    /// What the store held until a change.
+    /// Contents of the store before a change, which stale lists return.
     struct Snapshot
     {
         TimePoint until;
@@ -98,11 +98,11 @@
     std::map<std::uint64_t, std::shared_ptr<Connection>> connections;
     std::uint64_t nextConnection = 1;
     Objects objects;
-    /// Of the last moments, oldest first.
+    /// Recent snapshots, oldest first.
     std::deque<Snapshot> snapshots;
     std::vector<Change> history;
     std::uint64_t revision = 1;
-    /// Changes up to here were dropped.
+    /// Changes up to this revision are no longer in the history.
     std::uint64_t droppedRevision = 0;
     std::map<std::uint64_t, Watcher> watchers;
     StoreMode mode = StoreMode::Healthy;
--- a/tests/soak/upstream.cpp
+++ b/tests/soak/upstream.cpp
@@ -10,7 +10,7 @@
 constexpr int statusMisdirected = 421;
 constexpr int statusFailed = 500;
 constexpr int statusFull = 503;
-/// Work of a plain request, and the pause between two pieces of a stream.
+/// Execution time of a non-streaming request, and the time between two events of a stream.
 constexpr Milliseconds shortestWork{4};
 constexpr Milliseconds longestWork{30};
 
@@ -220,7 +220,7 @@
     }
     const std::string piece = streamEventFor(run.attemptId, run.nextEvent);
     if (run.truncatesResponse && run.nextEvent > last / 2) {
-        // In the middle of a piece.
+        // Truncates in the middle of an event.
         held->writeChunk(std::string_view(piece).substr(0, piece.size() / 2));
         this->endRun(connection);
         this->truncateResponse(held);
--- a/tests/soak/upstream.h
+++ b/tests/soak/upstream.h
@@ -17,26 +17,26 @@
 
 namespace plantainswitch::soak {
 
-/// Shares of the requests that an upstream treats badly.
+/// Faults of an upstream; shares are those of its requests, from 0 to 1.
 struct UpstreamFaults
 {
-    /// Answered with a failure of its own.
+    /// Executed and answered with status 500.
     double errorShare = 0.0;
-    /// Turned away unrun.
+    /// Rejected with status 503 and the "not executed" marker.
     double rejectShare = 0.0;
-    /// Run, then the connection is reset without an answer.
+    /// Executed, then the connection is reset without a response.
     double lostResponseShare = 0.0;
-    /// The answer is broken off in its middle.
+    /// The connection is reset in the middle of the response.
     double truncatedResponseShare = 0.0;
-    /// A second answer, to nobody, comes after the right one.
+    /// The response is followed by a second one that belongs to no request.
     double extraResponseShare = 0.0;
-    /// How many times longer than usual it works.
+    /// Factor by which the execution time is multiplied.
     double slowdownFactor = 1.0;
-    /// Takes requests and answers none.
+    /// Reads requests but never responds.
     bool isUnresponsive = false;
 };
 
-/// A stand-in of an upstream, which notes each run in the soak's history.
+/// A simulated upstream that records each run in the soak's history.
 class SoakUpstream
 {
 public:
@@ -45,14 +45,14 @@
                  TimePoint begin);
 
     void setFaults(const UpstreamFaults &newFaults) { this->faults = newFaults; }
-    /// \a newCrashed hears when a request has crashed the upstream; it is down from then on.
+    /// Sets the handler that is called when a poison request arrives; it has to call crash().
     void onCrash(std::function<void()> newCrashed) { this->crashHandler = std::move(newCrashed); }
-    /// Ends all connections and refuses new ones.
+    /// Resets all connections and refuses new ones.
     void crash();
     /// Serves again after a crash.
     void restart();
     [[nodiscard]] const std::string &name() const noexcept { return this->id; }
-    /// \returns whether no run is under way.
+    /// \returns whether no request is being executed.
     [[nodiscard]] bool isIdle() const noexcept { return this->runs.empty(); }
 
 private:
@@ -81,7 +81,7 @@
     void scheduleStep(std::uint64_t connection);
     void sendResponse(std::uint64_t connection);
     void sendNextEvent(std::uint64_t connection);
-    /// Breaks the answer off once what was written has left.
+    /// Resets the connection shortly after, so that what was written is sent first.
     void truncateResponse(const std::shared_ptr<Connection> &connection);
     void endRun(std::uint64_t connection);
     [[nodiscard]] bool drawChance(double share);
@@ -101,7 +101,7 @@
     std::function<void()> crashHandler;
     std::map<std::uint64_t, std::shared_ptr<Connection>> connections;
     std::uint64_t nextConnection = 1;
-    /// By connection.
+    /// Runs under way, by the id of their connection.
     std::map<std::uint64_t, Run> runs;
 };
 
--- a/tests/soak/weight.cpp
+++ b/tests/soak/weight.cpp
@@ -36,7 +36,7 @@
 constexpr std::uint16_t callPort = 7104;
 constexpr std::uint16_t storePort = 7105;
 constexpr std::uint16_t upstreamPort = 7107;
-/// Last numbers of the loopback addresses.
+/// Last octets of the loopback addresses.
 constexpr std::size_t storeHost = 1;
 constexpr std::size_t routerHost = 10;
 constexpr std::size_t firstUpstreamHost = 100;
@@ -45,14 +45,14 @@
 constexpr Milliseconds connectLimit{1000};
 constexpr Milliseconds askPause{5};
 constexpr Milliseconds idleSpan{4000};
-/// Time for streams that are open to have got their first pieces.
+/// Time for all open streams to receive their first events.
 constexpr Milliseconds settleSpan{1500};
-/// Slowness of upstreams at which streams stay open for the whole measurement.
+/// Slowdown factor of upstreams at which streams stay open for the whole measurement.
 constexpr double heldOpen = 400.0;
-/// Calls at once in the measurements of processor time.
+/// Concurrent calls in the measurements of CPU time.
 constexpr std::size_t width = 8;
 
-/// Processor time and memory of a process, as the system counts them.
+/// CPU time and resident memory of a process according to /proc.
 struct Weight
 {
     double cpuMilliseconds = 0.0;
@@ -64,7 +64,7 @@
     std::ifstream stat(fmt::format("/proc/{}/stat", process));
     std::string text;
     std::getline(stat, text);
-    // The name, which may hold spaces, ends with the last bracket; the state follows it.
+    // The process name may contain spaces and ends at the last bracket; the state follows it.
     std::istringstream fields(text.substr(text.rfind(')') + 1));
     constexpr int fieldsBeforeTimes = 11;
     for (int i = 0; i < fieldsBeforeTimes; ++i) {
@@ -82,7 +82,7 @@
             resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / megabyte};
 }
 
-/// One router between a store and upstreams that are played here, and its callers.
+/// Measures one router process between a simulated store, upstreams and callers.
 class WeightBench
 {
 public:
@@ -153,7 +153,7 @@
 private:
     static Endpoint at(std::size_t host, std::uint16_t port)
     {
-        // A net of its own for each process, so that several run side by side.
+        // Each process uses its own subnet, so that several can run in parallel.
         constexpr int nets = 250;
         return {fmt::format("127.{}.{}.{}", 1 + getpid() / nets % nets, 1 + getpid() % nets, host),
                 port};
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Makes \a count calls, \a width at once.
+    /// Makes \a count calls, at most maxConcurrentCalls at a time.
     void callMany(const std::string &path, std::size_t count)
     {
         std::size_t begun = 0;
@@ -283,15 +283,17 @@
     std::size_t streams = 300;
     std::size_t requests = 4000;
     options::options_description described(
-        "plantain-weight: what a router on the users' platform weighs; prints JSON");
+        "plantain-weight: measures start time, CPU time and memory of a router; prints JSON");
     described.add_options()("help", "show this text")(
-        "program", options::value(&program)->required(), "path of plantaind")(
-        "directory", options::value(&directory)->required(), "folder for settings and log")(
-        "log-level", options::value(&logLevel)->default_value(logLevel), "as in the settings")(
+        "program", options::value(&program)->required(),
+        "path of plantaind")("directory", options::value(&directory)->required(),
+                             "existing directory for the router's settings and log")(
+        "log-level", options::value(&logLevel)->default_value(logLevel),
+        "log level of the router, as in its settings")(
         "streams", options::value(&streams)->default_value(streams),
-        "streams that are open at once")("requests",
-                                         options::value(&requests)->default_value(requests),
-                                         "requests and streams for the processor time");
+        "concurrently open streams in the memory measurement")(
+        "requests", options::value(&requests)->default_value(requests),
+        "requests, and as many streams, in the CPU time measurement");
     options::variables_map given;
     options::store(options::parse_command_line(argc, argv, described), given);
     if (given.count("help") > 0) {
--- a/tests/soakhistory.cpp
+++ b/tests/soakhistory.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A history in which every promise holds; each test breaks one of them.
+/// A history without violations; each test adds one.
 class SoakHistoryFixture
 {
 protected:
@@ -57,7 +57,7 @@
         return all;
     }
 
-    /// \returns the checks that fail, each once.
+    /// \returns the names of the failed checks, without consecutive duplicates.
     [[nodiscard]] std::vector<std::string> broken() const
     {
         std::vector<std::string> checks;
@@ -166,7 +166,7 @@
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_staleLongAfterASilentStore_isFound", "[soak]")
 {
-    // Guards against excusing a router for ever by a harm that came just before an edit.
+    // Guards against a fault just before an edit exempting a router from the check for ever.
     this->history.calls[1].key = "key-5";
     this->history.storeFaults.push_back({SoakTime{500}, SoakTime{900}});
     CHECK(this->broken() == Checks{"in-force"});
--- a/tests/soakprocess.cpp
+++ b/tests/soakprocess.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Starts a program that ends at once and takes no notice of its arguments.
+/// Starts /bin/true, which ignores its arguments and exits at once.
 class SoakProcessFixture
 {
 protected:
@@ -30,7 +30,7 @@
 
 } // namespace
 
-// Guards against a reload that ends a router between its fork and the blocking of signals.
+// Guards against a SIGHUP that ends a router between its fork and the blocking of signals.
 TEST_CASE_METHOD(SoakProcessFixture, "process_reloadRightAfterItsStart_isNotEndedByIt", "[soak]")
 {
     constexpr int starts = 200;
--- a/tests/sse.cpp
+++ b/tests/sse.cpp
@@ -22,8 +22,8 @@
 
 TEST_CASE("acceptEvent_foreignAttempt_isNotRelayed", "[sse]")
 {
-    // An upstream mixes two streams up and sends an event of another request.
-    // The caller must not see it, so the stream counts as garbage.
+    // An upstream mixes up two streams and sends an event of another request. Guards against
+    // relaying it to the caller: the stream counts as invalid.
     StreamProgress progress;
     CHECK_FALSE(acceptEvent(R"({"id":"b.1","choices":[{"finish_reason":null}]})", "a.1", progress));
     CHECK(acceptEvent(R"({"id":"a.1","choices":[{"finish_reason":null}]})", "a.1", progress));
--- a/tests/storefollower.cpp
+++ b/tests/storefollower.cpp
@@ -23,9 +23,9 @@
 TEST_CASE_METHOD(StoreFollowerFixture, "follower_firstListAfterFailures_keepsWhatIsMissing",
                  "[gateway]")
 {
-    // A router starts while the store is down and hears of the upstreams from another router. Their
-    // entries lapse. The router's first list, right after the outage, lacks them all: dropped at
-    // once, every request would be refused though the upstreams work.
+    // Guards against dropping all upstreams at once: a router starts during an outage of the store
+    // and learns of the upstreams from another router. Their entries lapse, and the first list
+    // after the outage lacks them all. Every request would be refused although the upstreams work.
     std::atomic<int> calls = 0;
     ScriptedServer store([&calls](ServerConnection &connection) {
         while (connection.read()) {
@@ -57,10 +57,10 @@
 TEST_CASE_METHOD(StoreFollowerFixture, "follower_storeBusyAmidAList_goesOnAndSaysNothingBefore",
                  "[gateway]")
 {
-    // All routers of a large fleet start at once and list thousands of entries, page by page,
-    // faster than the store allows. A router that began anew after each refusal never came to the
-    // end, and one that took the first page's revision for heard told others that it knew all: they
-    // asked for nothing older, and the whole fleet served nobody, as if there were no upstreams.
+    // Guards against a fleet that starts without upstreams: all routers list thousands of entries
+    // page by page, faster than the store allows. A router that started over after each refusal
+    // never finished. One that announced the first page's revision too early was taken for up to
+    // date by the others, which then asked for nothing older.
     std::vector<std::string> targets;
     std::uint64_t heardAmid = 0;
     StoreFollower *asked = nullptr;
@@ -100,7 +100,7 @@
     REQUIRE(targets.size() == 3);
     CHECK(targets[1] == targets[2]);
     CHECK(heardAmid == 0);
-    // What changed since the first page came is heard by watching from there.
+    // Changes since the first page are found by watching from its revision.
     CHECK(follower.revision() == 12);
     follower.stop();
 }
@@ -108,7 +108,7 @@
 TEST_CASE_METHOD(StoreFollowerFixture, "follower_confirmerOfSilentStore_asksAtItsInterval",
                  "[gateway]")
 {
-    // Guards against a confirmer that replaces its watch at each look while the store is silent.
+    // Guards against a confirmer that replaces its watch at every check while the store is silent.
     std::atomic<int> watches = 0;
     ScriptedServer store([&watches](ServerConnection &connection) {
         while (const auto request = connection.read()) {
@@ -147,7 +147,7 @@
 TEST_CASE_METHOD(StoreFollowerFixture, "follower_staleFirstList_isUsedAndConfirmsNothing",
                  "[gateway]")
 {
-    // Guards against taking a list that lacks the last seconds for proof of what the store holds.
+    // Guards against taking a stale list, which lacks the last seconds, as a confirmation.
     std::vector<std::string> targets;
     ScriptedServer store([&targets](ServerConnection &connection) {
         while (const auto request = connection.read()) {
--- a/tests/storeview.cpp
+++ b/tests/storeview.cpp
@@ -48,8 +48,9 @@
 
 TEST_CASE_METHOD(StoreViewFixture, "storeView_upstreamGone_isToldToWhoeverAsksNext", "[gateway]")
 {
-    // An upstream is dropped some time after the store's last change. A router that had heard up
-    // to that change would keep sending to it if its end were noted at that revision.
+    // Guards against a missed removal: an upstream is dropped some time after the store's last
+    // change. If the removal were recorded at that revision, a router that knows it would keep
+    // sending requests there.
     recordRemoval(this->view, "a", 20);
     const auto told = this->ask({20, 9});
     REQUIRE(told);
@@ -69,10 +70,11 @@
 TEST_CASE_METHOD(StoreViewFixture, "storeView_removalHeldBackAfterOutage_isToldOnceItHolds",
                  "[gateway]")
 {
-    // A router's data centre was cut off. Just after its return an upstream leaves, whose entry the
-    // router keeps for two seconds, as it may have lapsed in the cut. A router elsewhere that had
-    // no outage hears from it of the newer revision, with no word of the removal: it would send
-    // that upstream work until the two seconds are over, beyond the time that it still serves.
+    // Guards against a missed removal after a partition: an upstream leaves just after this
+    // router's data centre is back, and the router retains its entry for two seconds, as it may
+    // have lapsed. A router without an outage would read the newer revision here without the
+    // removal, and would send requests to the upstream for those two seconds, longer than it serves
+    // them.
     ManualClock clock;
     ReplicaDirectory directory;
     Replica replica;
@@ -86,7 +88,7 @@
     recordRemoval(this->view, "a", 25);
     advanceRevision(this->view, 25, directory);
     CHECK(this->view.revision == 25);
-    // Others have meanwhile heard elsewhere of changes up to the 25th.
+    // Other routers have meanwhile learnt of changes up to revision 25.
     const auto told = this->ask({25, 9});
     REQUIRE(told);
     CHECK(told->replicas.contains("a"));
@@ -112,8 +114,9 @@
 
 TEST_CASE("viewHandout_manyWantALargeView_twoGetItAtOnce", "[gateway]")
 {
-    // A data centre of sixty routers starts at once, and three of them have the store's objects.
-    // All others ask for half a megabyte over their thin links.
+    // Guards against timeouts at the start of a large fleet: sixty routers of a data centre start
+    // at once, three of them have the store's objects, and all others fetch half a megabyte over
+    // slow links.
     StoreViewLimiter handout;
     bool hasLeft = false;
     const auto isDone = [&hasLeft] { return hasLeft; };
@@ -127,10 +130,11 @@
 
 TEST_CASE("storeView_answerAskedForBeforeAList_undoesNoLeaving", "[gateway]")
 {
-    // A router starts, asks another one what it knows, and lists the store. The list comes first
-    // and says that an upstream leaves; the answer, of an older revision, still has it ready.
-    // Taken, it sent requests there for five more seconds, on this router and on all that asked it,
-    // since each of them took itself to have heard of the newer revision.
+    // Guards against undoing the draining of an upstream: a router queries another one and lists
+    // the store. The list arrives first and says that the upstream is draining; the response, of an
+    // older revision, still has it as ready. When it was applied, requests were sent there for five
+    // more seconds, on this router and on all that queried it, since each of them took itself to be
+    // at the newer revision.
     StoreView view;
     recordReplica(view, "u-1", R"({"state":"leaving"})", 167);
     view.revision = 167;
--- a/tests/story.cpp
+++ b/tests/story.cpp
@@ -49,8 +49,8 @@
 
 TEST_CASE_METHOD(StoryFixture, "story_linesOfManyRouters_tellsOnlyTheRequestsOwn", "[observe]")
 {
-    // A caller complains of a refusal. Its router had the configuration of version 7 for two
-    // seconds, and one of the two upstreams had just been avoided.
+    // A caller reports a refusal. Its router had configuration version 7 for two seconds, and one
+    // of the two upstreams had just been ejected.
     this->take("time=1000000 event=208 name=routing-taken severity=info node=a version=7");
     this->take("time=900000 event=208 name=routing-taken severity=info node=a version=6");
     this->take("time=1000000 event=208 name=routing-taken severity=info node=b version=5");
--- a/tests/support/gatewayfixture.cpp
+++ b/tests/support/gatewayfixture.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::size_t readSize = 4096;
-/// Longest wait for something that must come; only a failing test waits so long.
+/// Timeout for an expected event. Only a failing test waits this long.
 constexpr std::chrono::seconds patience{20};
 constexpr std::chrono::milliseconds lookPause{5};
 
@@ -56,7 +56,7 @@
     return fmt::format(R"({{"metadata":{{"name":"{}","rev":1}},"spec":{}}})", name, document);
 }
 
-/// \returns how long a watch may be held, as its \a target says.
+/// \returns how long a watch may be held, as requested in \a target.
 std::chrono::milliseconds waitOf(const std::string &target)
 {
     constexpr std::string_view field = "waitMs=";
@@ -154,7 +154,7 @@
 void ScriptedServer::stopAccepting()
 {
     this->stopping = true;
-    // Wakes the accepting thread; closing wouldn't.
+    // Wakes the accepting thread, which closing the socket would not do.
     ::shutdown(this->acceptor.native_handle(), SHUT_RDWR);
 }
 
@@ -171,7 +171,8 @@
             continue;
         }
         ++this->accepted;
-        // A second handle on the same connection, by which the end of the server wakes its player.
+        // A second handle on the same connection. Shutting it down at the end of the server wakes
+        // the thread that runs the script.
         const int handle = dup(socket.native_handle());
         auto waker = std::make_shared<asio::ip::tcp::socket>(this->context);
         waker->assign(asio::ip::tcp::v4(), handle);
--- a/tests/support/gatewayfixture.h
+++ b/tests/support/gatewayfixture.h
@@ -19,7 +19,7 @@
 
 namespace plantainswitch::gateway {
 
-/// A request as a scripted server got it.
+/// A request as received by a scripted server.
 struct ReceivedRequest
 {
     MessageHead head;
@@ -34,16 +34,16 @@
         : socket(std::move(socket))
     {}
 
-    /// \returns the next whole request, or nothing when the connection has ended.
+    /// \returns the next complete request, or nothing when the connection has ended.
     std::optional<ReceivedRequest> read();
     void send(std::string_view bytes);
-    /// Ends the connection in order.
+    /// Closes the connection in an orderly way.
     void close();
-    /// Ends it by a reset.
+    /// Closes the connection with a reset.
     void reset();
-    /// Waits until the other side has ended the connection.
+    /// Waits until the peer has closed the connection.
     void waitForEnd();
-    /// Waits so for \a longest at most. \returns whether it has ended.
+    /// Waits for \a longest at most. \returns whether the peer has closed the connection.
     bool waitForEnd(std::chrono::milliseconds longest);
 
 private:
@@ -51,7 +51,7 @@
     std::string buffered;
 };
 
-/// A server on loopback, each connection of which is played by a function on its own thread.
+/// A server on the loopback interface that runs a script on its own thread for each connection.
 class ScriptedServer
 {
 public:
@@ -62,7 +62,7 @@
     ScriptedServer(const ScriptedServer &) = delete;
     ScriptedServer &operator=(const ScriptedServer &) = delete;
 
-    /// Takes no further connections: its address refuses them.
+    /// Accepts no further connections: they are refused.
     void stopAccepting();
     [[nodiscard]] Endpoint endpoint() const { return this->address; }
     [[nodiscard]] int connectionCount() const noexcept { return this->accepted; }
@@ -82,17 +82,17 @@
     std::thread thread;
 };
 
-/// An answer as a caller got it.
+/// A response as received by a caller.
 struct ReceivedResponse
 {
     int status = 0;
     std::vector<HeaderField> fields;
     std::string body;
-    /// The answer came to its end.
+    /// The response was received completely.
     bool isComplete = false;
 };
 
-/// A gateway between scripted upstreams and a caller, with a stand-in of the platform's store that
+/// A gateway between scripted upstreams and a caller, with a fake of the platform's store that
 /// holds one configuration: a host with a route of each kind.
 class GatewayFixture
 {
@@ -100,51 +100,52 @@
     GatewayFixture();
     ~GatewayFixture();
 
-    /// Adds an upstream of \a service, in force once the gateway is started.
+    /// Adds an upstream of \a service. Must be called before start().
     ScriptedServer &addUpstream(const std::string &id, const std::string &service,
                                 ScriptedServer::Script script);
     /// Adds an upstream whose address refuses connections.
     void addDeadUpstream(const std::string &id, const std::string &service);
-    /// Ends the gateway at once and waits for it. \returns whether \a signal is blocked on the
-    /// thread that ran it.
+    /// Terminates the gateway and waits for it. \returns whether \a signal is blocked in the thread
+    /// that ran it.
     bool isSignalBlockedAfterStop(int signal);
-    /// Makes the gateway hear another router, which never answers it, until the fixture ends.
-    /// \param storeRevision up to which it has heard of the store's changes
+    /// Sends the gateway updates of another router, which never replies, until the fixture is
+    /// destroyed.
+    /// \param storeRevision revision of the store up to which that router knows all changes
     void addSilentRouter(const std::string &id, const std::string &place,
                          std::uint64_t storeRevision = 0);
     /// Starts the gateway and waits until it is ready.
     void start();
-    /// Replaces the store's configuration; lists show it, watches that wait are not answered.
+    /// Replaces the store's configuration. Lists return it, waiting watches do not report it.
     void editConfigSilently(std::uint64_t version) { this->routingVersion = version; }
-    /// The store answers no watch any more, and lists as before.
+    /// From now on the store responds to no watch, but still to lists.
     void ignoreWatches() { this->ignoresWatches = true; }
-    /// \returns the version of the configuration in force; 0: none.
+    /// \returns the version of the routing configuration in use; 0 if there is none.
     std::uint64_t appliedConfigVersion();
     /// \returns a request as callers send it.
     [[nodiscard]] static std::string makeRequest(const std::string &path,
                                                  const std::string &attempt,
                                                  const std::string &body = {},
                                                  const std::string &more = {});
-    /// Sends \a bytes on a new connection and reads one answer.
+    /// Sends \a bytes on a new connection and reads one response.
     ReceivedResponse call(const std::string &bytes);
     asio::ip::tcp::socket connectCaller();
     static ReceivedResponse readResponse(asio::ip::tcp::socket &socket);
-    /// Asks for a page that isn't for callers.
+    /// Requests a path from the readiness listener.
     ReceivedResponse getInternalPage(const std::string &path);
-    /// \returns whether the gateway says that it is ready.
+    /// \returns whether the gateway reports itself as ready.
     bool isReady();
-    /// Waits until \a condition holds. \returns whether it did within some seconds.
+    /// Polls until \a condition holds, for up to 20 seconds. \returns whether it did.
     static bool eventually(const std::function<bool()> &condition);
 
-    /// \returns a whole signed answer to \a request.
+    /// \returns a complete signed response to \a request.
     static std::string makeResponse(const ReceivedRequest &request, const std::string &body,
                                     int status = 200, const std::string &more = {});
-    /// \returns the head of a signed event stream in chunks.
+    /// \returns the head of a signed, chunked event stream.
     static std::string makeStreamHead(const ReceivedRequest &request);
     static std::string makeChunk(const std::string &bytes);
     static std::string makeEvent(int id);
 
-    /// Lists of upstreams that the store was asked for.
+    /// \returns how often the store was asked for a list of upstreams.
     [[nodiscard]] int replicaListCount() const noexcept { return this->listCount; }
 
     asio::io_context callerContext;
@@ -164,7 +165,7 @@
     std::atomic<bool> ignoresWatches = false;
     std::unique_ptr<ScriptedServer> store;
     std::thread thread;
-    /// What the gateway's thread blocks once it has run.
+    /// The signals that the gateway's thread blocked after run().
     sigset_t blockedAtEnd{};
     std::vector<std::thread> routers;
     std::atomic<bool> stopped = false;
--- a/tests/suspects.cpp
+++ b/tests/suspects.cpp
@@ -15,7 +15,8 @@
 constexpr Fingerprint crasher = 1;
 constexpr std::size_t copiesAtOnce = 2;
 
-/// Routers with their own view of blame, one keeper, engines that the crasher takes down.
+/// Simulates routers with their own view of the suspects, one coordinator, and engines that a
+/// crashing request takes down.
 class CrashWorld
 {
 public:
@@ -110,7 +111,7 @@
         this->tell(news);
     }
 
-    /// The keeper knows at once, the other routers when the news comes.
+    /// The coordinator is updated at once, the other routers when the report is delivered.
     void tell(const SuspectUpdate &news)
     {
         if (this->share) {
@@ -140,10 +141,10 @@
 
 TEST_CASE("suspects_oneCrasherAtManyRouters_takesDownABoundedNumber", "[suspects]")
 {
-    // One request crashes each engine that runs it, and its caller sends it again and again, to
-    // every router, two copies at the same moment. News of crashes reaches the other routers
-    // late. It takes down the two engines of its first copies and no more: the keeper of the
-    // engines knows of the crashes, whatever the routers know.
+    // A caller keeps sending a request that crashes every engine that runs it, to every router, two
+    // copies at a time; crash reports reach the other routers late. It must not take down more than
+    // the two engines of its first copies: the engines' coordinator knows of the crashes, whatever
+    // the routers know.
     constexpr std::uint64_t bound = copiesAtOnce;
     std::uint64_t crashes = 0;
     const bool held = rc::check("crash bound", [&crashes] {
@@ -172,8 +173,9 @@
 
 TEST_CASE("suspects_innocentBesideCrasher_clearsItself", "[suspects]")
 {
-    // An innocent request runs on the engine that the crasher takes down. Both are suspects and
-    // kept apart, so the second crash is the crasher's alone; the innocent finishes and is clear.
+    // An innocent request runs on the engine that a crashing one takes down. Both become suspects
+    // and are kept apart, so that the second crash is attributed to the crashing one alone; the
+    // innocent one completes and is no longer suspected.
     Suspects suspects;
     const TimePoint now{Seconds{10}};
     applySuspectUpdate(suspects, {1, {crasher, 2}, {}}, now);
--- a/tests/upstreamhealth.cpp
+++ b/tests/upstreamhealth.cpp
@@ -53,8 +53,9 @@
 
 TEST_CASE_METHOD(UpstreamHealthFixture, "health_silenceOfLongAgo_isNoNewsForANewcomer", "[routing]")
 {
-    // Two routers once saw an upstream silent. A router that starts an hour later is told all that
-    // it hasn't heard: told of these, it would avoid an upstream that is well.
+    // Two routers have each seen a timeout of an upstream. A router that starts an hour later is
+    // sent everything that it hasn't heard. Guards against ejecting a healthy upstream because of
+    // these old timeouts.
     this->clock.advance(Seconds{1});
     CHECK_FALSE(isNewTimeout(this->health, {}, this->clock.now()));
     recordFault(this->health, UpstreamFault::TimedOut, this->clock.now());
@@ -68,8 +69,8 @@
 
 TEST_CASE_METHOD(UpstreamHealthFixture, "health_silenceSeenByTwo_isADarkEngine", "[routing]")
 {
-    // An engine loses power. Each caller who waits for it loses its objective, so that the first
-    // two silences, wherever they are seen, must keep all others away. One alone may be chance.
+    // An engine loses power. Each caller that waits for it misses its objective, so the first two
+    // timeouts, on whichever routers, must eject it. A single one may be coincidence.
     this->clock.advance(Seconds{1});
     recordFault(this->health, UpstreamFault::TimedOut, this->clock.now());
     CHECK_FALSE(this->avoided());
@@ -90,8 +91,8 @@
 TEST_CASE_METHOD(UpstreamHealthFixture, "health_halfOfRequestsFail_showsInTheShareAndFades",
                  "[routing]")
 {
-    // An upstream fails nearly half of its requests while its health probe is good. It is not
-    // down, so that only the share tells it from its peers.
+    // An upstream fails nearly half of its requests while its health probes succeed. It isn't down,
+    // so that only the failure rate distinguishes it from the others.
     for (int i = 0; i < 100; ++i) {
         recordFault(this->health, UpstreamFault::Failed, this->clock.now());
         recordSuccess(this->health, Duration{0}, this->clock.now());
@@ -113,8 +114,8 @@
 
 TEST_CASE_METHOD(UpstreamHealthFixture, "health_peersWord_isNotPassedOn", "[routing]")
 {
-    // Routers tell each other which upstreams they avoid. If a router passed on what it only
-    // heard, two of them would keep an upstream avoided for ever.
+    // Routers report to each other which upstreams they eject. Guards against passing on what was
+    // only reported: two routers would keep an upstream ejected forever.
     const TimePoint now = this->clock.now();
     recordPeerEjection(this->health, now + Seconds{100}, now);
     CHECK(this->avoided());
@@ -125,8 +126,8 @@
 
 TEST_CASE("silence_engineThatAnswersOthers_isBusyNotDark", "[routing]")
 {
-    // Caches are cold and long prompts queue up. Requests wait for their first token while the
-    // engine streams to others. If each were taken for a dead engine, all would be avoided in turn.
+    // Caches are cold and long prompts are queued: requests wait for their first token while the
+    // engine streams others. Guards against ejecting each engine in turn as if it were down.
     const TimePoint sent{Seconds{10}};
     CHECK(classifyTimeout(sent, TimePoint{Seconds{9}}) == TimeoutCause::Unresponsive);
     CHECK(classifyTimeout(sent, TimePoint{Seconds{11}}) == TimeoutCause::Busy);
--- a/tests/upstreampools.cpp
+++ b/tests/upstreampools.cpp
@@ -41,8 +41,9 @@
 
 TEST_CASE_METHOD(UpstreamPoolsFixture, "upstreamPools_anyLists_matchAWalkOverAll", "[upstreams]")
 {
-    // VMs move between lists, services and places. A pool that kept a VM of an older list would
-    // send work into a place that the VM has left; one that missed a VM would leave it idle.
+    // VMs move between lists, services and data centres. Guards against a pool that keeps a VM of
+    // an older list, which would send requests to a data centre that the VM has left, and against
+    // one that misses a VM, which would stay idle.
     for (std::size_t round = 0; round < rounds; ++round) {
         UpstreamTable table;
         std::vector<Vm> vms;
--- a/tests/upstreamselection.cpp
+++ b/tests/upstreamselection.cpp
@@ -28,7 +28,8 @@
         }
     }
 
-    /// A prompt of one large shared part and a small one of its own.
+    /// A prompt with a part that all prompts share, a large part that those with the same \a
+    /// subject share, and a small part of its own.
     static Prompt promptAbout(std::uint64_t subject)
     {
         return {"m", {{1000, 2500}, {subject, 6000}, {subject << 20U, 500}}, 50};
@@ -50,8 +51,8 @@
                                this->clock.now());
     }
 
-    /// Adds nine engines and gives \a prompt to the one that is chosen.
-    /// \returns the index of that one.
+    /// Adds nine engines and sends \a prompt to the selected one.
+    /// \returns its index.
     std::size_t handToHome(const Prompt &prompt)
     {
         this->addEngines(9);
@@ -102,9 +103,9 @@
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_oneSubjectGetsAThirdOfTheTraffic_boundHolds",
                  "[routing]")
 {
-    // One tool's history is asked for by everybody: a third of all requests share one chain,
-    // whose engine would hold far more than twice the mean. The rest goes round some 130 subjects
-    // as in the users' sheets. Requests end in the order they came, 60 at a time.
+    // A third of all requests share one prefix, whose home would run far more than twice the mean.
+    // The rest is spread over about 130 subjects, as in the users' workload figures. Requests end
+    // in the order in which they arrived, 60 at a time.
     this->addEngines(9);
     std::mt19937_64 random(20'261'202);
     std::vector<std::size_t> running;
@@ -132,9 +133,9 @@
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_routersWithOldFigures_doNotAllPickTheSameEngine",
                  "[routing]")
 {
-    // Eight routers see the same loads, up to a tenth of a second old. Chains whose own engine is
-    // full spill over; if all took the least loaded engine, it would hold more than twice the mean
-    // before any router heard of it.
+    // Eight routers see the same loads, up to a tenth of a second old. Guards against all of them
+    // spilling over from full engines to the least loaded one, which would run more than twice the
+    // mean before any router learnt of it.
     this->addEngines(9);
     for (UpstreamState *state : this->pointers) {
         state->peersRunning = 6;
@@ -177,8 +178,8 @@
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_mostEnginesFailAlike_avoidanceIsIgnored",
                  "[routing]")
 {
-    // When nearly all engines fail at once the cause is not theirs. Avoiding them would put all
-    // load on the one that is left, which would hold nine times its share.
+    // If nearly all engines fail at once, the cause is elsewhere. Guards against ejecting them,
+    // which would move all load to the remaining one: nine times its share.
     this->addEngines(9);
     for (std::size_t i = 0; i < 8; ++i) {
         recordFault(this->pointers[i]->health, UpstreamFault::ConnectionLost, this->clock.now());
@@ -198,9 +199,9 @@
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_dataCentreCutOff_usesItsOwnEnginesOnly",
                  "[routing]")
 {
-    // A data centre is cut off, with two of nine engines in it. Each try of another one costs its
-    // caller a connection's time-out, three of them the whole objective; the two that are left
-    // must get all work at once, though most of the service is out of reach.
+    // A data centre is cut off, with two of the nine engines in it. Each attempt on another engine
+    // costs its caller a connection timeout, and three of them the whole objective. The two
+    // reachable engines must get all requests at once, although most of the service is unreachable.
     this->addEngines(2, "hall-a");
     this->addEngines(7, "hall-b");
     for (std::size_t i = 2; i < 9; ++i) {
@@ -272,8 +273,9 @@
 
 TEST_CASE("chainMemory_enginesReplacedForMonths_remembersThoseInUse", "[routing]")
 {
-    // All prompts share a prefix, whose entry is always in use. Engine after engine reads it and is
-    // replaced: what is remembered of the dead ones must not grow with their number.
+    // All prompts share a prefix, whose entry is therefore always in use, while its engines are
+    // replaced one after the other. Guards against an entry that grows with the number of replaced
+    // engines.
     PrefixIndex memory;
     ManualClock clock;
     const std::uint64_t prefix = 1;
@@ -287,8 +289,8 @@
 
 TEST_CASE("chainMemory_partUnusedForLong_isTakenAsDropped", "[routing]")
 {
-    // An engine's memory is full with what came later. A router that still takes the part to be
-    // there would send the chain to an engine that has to read it all.
+    // An engine's cache is filled with newer prefixes. Guards against sending a prompt to an engine
+    // that is assumed to have its prefix cached but has to prefill all of it.
     PrefixIndex memory;
     ManualClock clock;
     const std::uint64_t part = 1;
@@ -302,8 +304,8 @@
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_homeIsFull_spillsToTheChainsNextAndNamesADonor",
                  "[routing]")
 {
-    // A chain's home holds as much as it may. All routers send what spills over to the same next
-    // engine, which copies the prompt from the home instead of reading it.
+    // The home of a prefix is at its load bound. All routers must spill over to the same next
+    // engine, which transfers the prompt from the home instead of prefilling it.
     const Prompt prompt = promptAbout(7);
     const std::size_t home = this->handToHome(prompt);
     this->pointers[home]->ownRunning = 40;
@@ -323,7 +325,8 @@
 
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_donorIsAvoided_isNotCopiedFrom", "[routing]")
 {
-    // A copy from an engine that is down would hold the request up until its time is over.
+    // Guards against a transfer from an engine that is down, which would block the request until
+    // its timeout.
     const Prompt prompt = promptAbout(7);
     const std::size_t home = this->handToHome(prompt);
     recordFault(this->pointers[home]->health, UpstreamFault::Unreachable, this->clock.now());
@@ -336,7 +339,7 @@
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_engineShouldHaveThePrompt_stillNamesADonor",
                  "[routing]")
 {
-    // An engine may have dropped what it is taken to have; naming another one costs nothing then.
+    // The engine may have evicted the prompt; naming a transfer source costs nothing otherwise.
     const Prompt prompt = promptAbout(7);
     const std::size_t home = this->handToHome(prompt);
     UpstreamSelection second;
@@ -351,8 +354,8 @@
 
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_homeIsNew_copiesFromTheHomeBeforeIt", "[routing]")
 {
-    // An engine joins and is the home of some chains from then on. It has none of them yet but for
-    // the prefix that all share, and copies them from the engine that was their home before.
+    // An engine joins and becomes the home of some prefixes. It has none of them cached except the
+    // prefix that all prompts share, and must transfer them from their previous home.
     this->addEngines(9);
     std::vector<std::size_t> before;
     for (std::uint64_t subject = 1; subject <= 90; ++subject) {
@@ -386,7 +389,7 @@
 
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_homeIsLeaving_nextOneCopiesFromIt", "[routing]")
 {
-    // A planned stop of an engine: its memory is good until it exits.
+    // A draining engine's cache can be used until it stops.
     const Prompt prompt = promptAbout(7);
     const std::size_t home = this->handToHome(prompt);
     this->pointers[home]->replica.draining = true;
@@ -397,7 +400,7 @@
 
 TEST_CASE("chainMemory_onlyTheSharedPartHeardOf_standsForThoseBeforeIt", "[routing]")
 {
-    // Other routers tell one word for a chain, not one for each of its parts.
+    // Other routers report one hash per prompt, not one for each of its parts.
     PrefixIndex memory;
     ManualClock clock;
     const std::vector<std::uint64_t> chain{1, 2, 3};
@@ -408,7 +411,7 @@
     CHECK_FALSE(memory.wasUsed(2, 5, Seconds{2}, clock.now()));
 }
 
-// Guards against long prompts that look free to the engine that is to read them.
+// Guards against underestimating the prefill of long prompts that no engine has cached.
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_prefixNobodyHas_countsAllOfThePrompt", "[routing]")
 {
     this->addEngines(9);
@@ -437,7 +440,7 @@
     }
 }
 
-// Guards against transfers over links on which they take longer than prefill.
+// Guards against transfers over links on which they take longer than a prefill.
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_transferSlowerThanPrefill_prefills", "[routing]")
 {
     this->policy.performance.prefillRate = 45.0;
@@ -452,7 +455,7 @@
     CHECK(next->uncachedTokens == 9000.0);
 }
 
-// Guards against a queue for slots that is taken to move as fast as steps of an engine.
+// Guards against estimating the queue for slots as if it moved as fast as the steps of an engine.
 TEST_CASE_METHOD(UpstreamChoiceFixture, "choice_allSlotsBusy_expectsAShareOfTheHoldTime",
                  "[routing]")
 {
@@ -487,7 +490,7 @@
     CHECK(memory.recentSharedUses(1, clock.now()).size() == 1);
 }
 
-// Guards against an old report that makes a prefix look older than its last use.
+// Guards against an older report that makes a prefix look older than its last use.
 TEST_CASE("chainMemory_olderUseReported_keepsTheNewerOne", "[routing]")
 {
     PrefixIndex memory;
--- a/tests/vmlistreader.cpp
+++ b/tests/vmlistreader.cpp
@@ -10,7 +10,7 @@
 constexpr int statusOk = 200;
 constexpr int statusNotModified = 304;
 
-/// Reads the platform's list of VMs, answer by answer.
+/// Feeds the platform's responses to a VM list reader.
 class VmListFixture
 {
 protected:
@@ -72,8 +72,8 @@
 
 TEST_CASE_METHOD(VmListFixture, "vmList_failedAnswer_leavesTagAndListAsTheyWere", "[vmlist]")
 {
-    // An answer breaks off between two whole ones. Taken as a list, or its tag remembered, the
-    // next "not modified" would stand for a list that nobody has read.
+    // A response is truncated between two complete ones. If it were accepted as a list, or its tag
+    // remembered, the next "not modified" would refer to a list that was never read.
     const VmListPointer first = this->reader.read(listing("e0", "a"));
     HttpResponse broken = listing("e1", "b");
     broken.outcome = HttpOutcome::Broken;
--- a/tests/wholepath.cpp
+++ b/tests/wholepath.cpp
@@ -43,8 +43,9 @@
                  "[wholepath]")
 {
     for (std::size_t router = 0; router < 3; ++router) {
-        // The chat returns once its last slot is back at the keeper. Sooner, its own old request
-        // would still count against its engine, and with a mean below one displace it.
+        // Wait until the chat's last slot was released at its coordinator. Otherwise its own old
+        // request would still count against its engine, and with a mean load below one move the
+        // chat away.
         REQUIRE(Fleet::eventually([&] { return this->slotsKept() == 0; }));
         const auto answer = this->fleet.chat(router, this->token, "c1", this->body("hello"));
         REQUIRE(answer.status == 200);
@@ -69,8 +70,8 @@
 
 TEST_CASE_METHOD(WholePathFixture, "router_stopDuringChat_answersItWhole", "[wholepath]")
 {
-    // A router is asked to stop while it relays a long answer. The caller must get all of it:
-    // the router leaves the balancer first and its process only when nothing is in flight.
+    // Guards against truncating an answer at a graceful stop. The router first drops out of the
+    // load balancer, and exits only when nothing is in flight.
     auto longBody = this->body("long");
     longBody["max_tokens"] = 200;
     net::HttpResponse answer;
@@ -100,9 +101,9 @@
 
 TEST_CASE_METHOD(WholePathFixture, "router_oversizedHead_refusesAsTooLargeAndNotRun", "[wholepath]")
 {
-    // A caller sends more headers, or longer ones, than a router takes. A connection that closes
-    // without an answer would look like a request that may have run, so that an order would not
-    // be sent again; the refusal says that it has not.
+    // Guards against closing the connection without an answer when a head exceeds its limits: that
+    // would look like a request that may have run, and an order would not be sent again. The
+    // refusal says that it has not run.
     net::HttpCall plain;
     plain.url = "/services/" + this->fleet.deployment.plainService + "/a";
     plain.headers = {{"authorization", "Bearer " + this->token}};
@@ -121,7 +122,7 @@
     }
     plain.headers["cookie"] = std::string(8192, 'c');
     CHECK(this->fleet.call(0, plain).status == 200);
-    // What bounds the memory of a head: here the connection is closed.
+    // Above http_parser's limit, which bounds the memory of a head, the connection is closed.
     plain.headers["cookie"] = std::string(80 << 10, 'c');
     CHECK(this->fleet.call(0, plain).outcome != net::HttpOutcome::Complete);
 }
--- a/tests/wirenames.sh
+++ b/tests/wirenames.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Shows that scripts/wirenames.sh finds a name of the platform that strayed into the product.
+# Tests that scripts/wirenames.sh detects a name of the platform's API outside platform/.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 copy=$(mktemp -d)
@@ -9,7 +9,7 @@
 "$root/scripts/wirenames.sh" "$copy" >/dev/null
 echo 'constexpr auto field = "X-Attempt-Id";' > "$copy/gateway/stray.cpp"
 if "$root/scripts/wirenames.sh" "$copy" >/dev/null 2>&1; then
-    echo "a stray name was not found" >&2
+    echo "scripts/wirenames.sh did not detect X-Attempt-Id in gateway/stray.cpp" >&2
     exit 1
 fi
 "$root/scripts/wirenames.sh" "$root"
--- a/tests/writerchoice.cpp
+++ b/tests/writerchoice.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t self = 99;
 
-/// One ask on its way to the three writers 1, 2 and 3 of its slice.
+/// One request to the three writers 1, 2 and 3 of its slice.
 class WriterChoiceFixture
 {
 protected:
@@ -21,7 +21,7 @@
                                   this->now);
     }
 
-    /// Lets the ask go unheard until a writer is passed over.
+    /// Leaves the request unacknowledged until a writer is skipped.
     ClaimRouteStep untilPassedOver()
     {
         for (int ask = 0; ask < this->limits.maxUnacknowledged; ++ask) {
@@ -50,8 +50,8 @@
 
 TEST_CASE("writersOf_anySlice_areDistinctAndNotAllOfOnePlace", "[claims]")
 {
-    // A place is lost with all its routers. Were both first writers in it, every router would
-    // write each slice itself, and load it first.
+    // A data centre is lost with all its routers. If both first writers were in it, every router
+    // would write each slice itself, and load it first.
     const auto members = fleetOf(24, 4);
     for (std::uint32_t slice = 0; slice < 64; ++slice) {
         const auto writers = claimWritersOf(slice, members, "place-2", WriterLimits{});
@@ -110,8 +110,8 @@
 
 TEST_CASE_METHOD(WriterChoiceFixture, "ask_writersWithoutStore_isRefusedAfterTheBound", "[claims]")
 {
-    // Two writers answer that they can't reach the platform. A third try would only take the
-    // courier's time; the claim was never queued, so that "not run" is true.
+    // Two writers reply that they can't reach the platform. A third attempt would only take the
+    // courier's time; the claim was never queued, so "not run" is true.
     for (int refusal = 0; refusal < this->limits.maxRefusals; ++refusal) {
         CHECK(this->step().action == ClaimRouteAction::Send);
         recordWriterRefusal(this->route);
