--- a/daemon/claimservice.cpp
+++ b/daemon/claimservice.cpp
@@ -112,7 +112,7 @@
     asio::post(this->strand,
                [self = this->shared_from_this(), ask, done = std::move(done)]() mutable {
                    auto entry = std::make_shared<PendingClaim>();
-                   entry->ask = ask;
+                   entry->request = ask;
                    entry->done = std::move(done);
                    entry->timer = std::make_unique<asio::steady_timer>(self->strand);
                    entry->deadline = self->node.clock.now() + claimDeadline;
@@ -123,7 +123,7 @@
 
 void ClaimService::sendOrWrite(const std::shared_ptr<PendingClaim> &ask)
 {
-    const auto writers = this->writersFor(ask->ask.claim.id);
+    const auto writers = this->writersFor(ask->request.claim.id);
     std::vector<std::uint64_t> ids;
     ids.reserve(writers.size());
     for (const Heartbeat &writer : writers) {
@@ -140,13 +140,13 @@
                                     : std::to_string(step.silentWriter)}});
     }
     if (step.action == ClaimRouteAction::Refuse) {
-        const std::uint64_t nonce = ask->ask.claim.nonce;
+        const std::uint64_t nonce = ask->request.claim.nonce;
         this->complete(nonce, {nonce, ClaimVerdict::Unavailable, {}});
         return;
     }
     this->scheduleRetry(ask, step.wait);
     if (step.action == ClaimRouteAction::Send) {
-        this->link->send(writers[step.writer].datagramEndpoint, ask->ask);
+        this->link->send(writers[step.writer].datagramEndpoint, ask->request);
         return;
     }
     this->writeLocally(ask);
@@ -154,10 +154,10 @@
 
 void ClaimService::writeLocally(const std::shared_ptr<PendingClaim> &ask)
 {
-    Slice &slice = this->sliceFor(ask->ask.claim.id);
-    const ClaimVerdict verdict = this->enqueueRequest(slice, ask->ask);
+    Slice &slice = this->sliceFor(ask->request.claim.id);
+    const ClaimVerdict verdict = this->enqueueRequest(slice, ask->request);
     if (verdict == ClaimVerdict::Unavailable) {
-        this->complete(ask->ask.claim.nonce, {ask->ask.claim.nonce, verdict, {}});
+        this->complete(ask->request.claim.nonce, {ask->request.claim.nonce, verdict, {}});
         return;
     }
     this->advance(slice);
@@ -168,7 +168,7 @@
     ask->timer->expires_after(wait);
     ask->timer->async_wait(asio::bind_executor(
         this->strand, [self = this->shared_from_this(), ask](const asio::error_code &error) {
-            const std::uint64_t nonce = ask->ask.claim.nonce;
+            const std::uint64_t nonce = ask->request.claim.nonce;
             if (error || !self->pendingClaims.contains(nonce)) {
                 return;
             }
@@ -199,7 +199,7 @@
         return;
     }
     ClaimReply own = reply;
-    own.holder.id = ask->ask.claim.id;
+    own.holder.id = ask->request.claim.id;
     this->complete(reply.nonce, own);
 }
 
--- a/daemon/claimservice.h
+++ b/daemon/claimservice.h
@@ -46,7 +46,7 @@
 private:
     struct PendingClaim
     {
-        ClaimRequest ask;
+        ClaimRequest request;
         ClaimCallback done;
         std::unique_ptr<asio::steady_timer> timer;
         TimePoint deadline;
--- a/daemon/coordinatorservice.cpp
+++ b/daemon/coordinatorservice.cpp
@@ -31,8 +31,9 @@
     this->link->setHandler<SlotRequest>([self = this->shared_from_this()](std::uint64_t sender,
                                                                           const Endpoint &from,
                                                                           PeerBody body) {
-        self->ask(sender, std::get<SlotRequest>(body),
-                  [self, from](const SlotReply &reply) { self->link->send(from, reply); });
+        self->handleRequest(
+            sender, std::get<SlotRequest>(body),
+            [self, from](const SlotReply &reply) { self->link->send(from, reply); });
     });
     this->link->setHandler<SlotRelease>(
         [self = this->shared_from_this()](std::uint64_t sender, const Endpoint &, PeerBody body) {
@@ -41,19 +42,19 @@
     asio::post(this->link->executor(), [self = this->shared_from_this()] { self->tick(); });
 }
 
-void CoordinatorService::ask(std::uint64_t router, const SlotRequest &ask,
-                             const ReplyCallback &done)
+void CoordinatorService::handleRequest(std::uint64_t router, const SlotRequest &ask,
+                                       const ReplyCallback &done)
 {
     Replies replies;
     {
         const RankedLock lock(this->mutex);
-        replies.emplace_back(done, this->askLocked(router, ask, done, replies));
+        replies.emplace_back(done, this->handleRequestLocked(router, ask, done, replies));
     }
     send(replies);
 }
 
-SlotReply CoordinatorService::askLocked(std::uint64_t router, const SlotRequest &ask,
-                                        const ReplyCallback &done, Replies &replies)
+SlotReply CoordinatorService::handleRequestLocked(std::uint64_t router, const SlotRequest &ask,
+                                                  const ReplyCallback &done, Replies &replies)
 {
     const auto found = this->queues.find(shardIdOf(ask.shard));
     if (found == this->queues.end()) {
@@ -110,18 +111,18 @@
     const auto keeper = coordinatorOf(ask.shard, *this->node.members.active());
     const bool own = keeper && keeper->id == this->node.settings.id;
     if (this->node.suspects.statusOf(ask.fingerprint, now) == SuspectStatus::None) {
-        return this->node.keeper.grant(router, ask, std::move(grantView), own, now);
+        return this->node.shardCoordinator.grant(router, ask, std::move(grantView), own, now);
     }
     // Empty instead of Overflow: a queued suspect would block the requests behind it.
     const auto running =
-        this->node.keeper.runningRequests(shardIdOf(ask.shard), {router, ask.requestId});
+        this->node.shardCoordinator.runningRequests(shardIdOf(ask.shard), {router, ask.requestId});
     if (this->node.suspects.blocks(ask.fingerprint, running, now)) {
         return {ask.requestId, SlotVerdict::Empty, 0};
     }
     SlotRequest apart = ask;
     const auto away = this->node.suspects.excludedFor(ask.fingerprint, running, now);
     apart.avoid.insert(apart.avoid.end(), away.begin(), away.end());
-    return this->node.keeper.grant(router, apart, std::move(grantView), own, now);
+    return this->node.shardCoordinator.grant(router, apart, std::move(grantView), own, now);
 }
 
 void CoordinatorService::grantWaiting(ShardQueue &shard, Replies &replies)
@@ -157,7 +158,7 @@
     Replies replies;
     {
         const RankedLock lock(this->mutex);
-        this->node.keeper.release(router, release);
+        this->node.shardCoordinator.release(router, release);
         const auto found = this->queues.find(release.shard);
         if (found != this->queues.end()) {
             ShardQueue &shard = found->second;
--- a/daemon/coordinatorservice.h
+++ b/daemon/coordinatorservice.h
@@ -25,7 +25,7 @@
     void start();
     /// Handles a slot request of \a router, which may be this router itself. \a done is called
     /// once, or twice if the first reply is Queued.
-    void ask(std::uint64_t router, const SlotRequest &ask, const ReplyCallback &done);
+    void handleRequest(std::uint64_t router, const SlotRequest &ask, const ReplyCallback &done);
     void release(std::uint64_t router, const SlotRelease &release);
 
     /// Drops the waiting requests. Call only when no worker thread runs any more.
@@ -42,8 +42,8 @@
     /// Replies to send after the queue lock is released.
     using Replies = std::vector<std::pair<ReplyCallback, SlotReply>>;
 
-    SlotReply askLocked(std::uint64_t router, const SlotRequest &ask, const ReplyCallback &done,
-                        Replies &replies);
+    SlotReply handleRequestLocked(std::uint64_t router, const SlotRequest &ask,
+                                  const ReplyCallback &done, Replies &replies);
     SlotReply enqueue(ShardQueue &shard, std::uint64_t router, const SlotRequest &ask,
                       const ReplyCallback &done);
     SlotReply grant(std::uint64_t router, const SlotRequest &ask);
--- a/daemon/heldslots.cpp
+++ b/daemon/heldslots.cpp
@@ -69,7 +69,7 @@
         } else if (keeper) {
             for (SlotList &list : splitIntoLists(entry.shard, this->node.identity, entry.slots,
                                                  this->lowestPending(id))) {
-                this->node.keeper.receiveList(0, list, now);
+                this->node.shardCoordinator.receiveList(0, list, now);
             }
         }
     }
--- a/daemon/membershipservice.cpp
+++ b/daemon/membershipservice.cpp
@@ -95,7 +95,7 @@
 {
     for (const Heartbeat &gone : output.gone) {
         logEvent(Event::MemberGone, {{"member", gone.id}});
-        this->node.keeper.releaseRouter(identityOf(gone.id, gone.incarnation));
+        this->node.shardCoordinator.releaseRouter(identityOf(gone.id, gone.incarnation));
     }
     for (const Heartbeat &joined : output.joined) {
         logEvent(Event::MemberJoined, {{"member", joined.id}, {"place", joined.dataCentre}});
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -44,7 +44,7 @@
     MemberTable members;
     VmTable vms;
     UpstreamTable upstreams;
-    ShardCoordinator keeper;
+    ShardCoordinator shardCoordinator;
     OwnClaimTable ownClaims;
     SuspectTable suspects;
     LimitTable limits;
--- a/daemon/operators.cpp
+++ b/daemon/operators.cpp
@@ -45,7 +45,7 @@
                  {"place", own.dataCentre},
                  {"catalogueVersion", own.catalogueVersion},
                  {"inFlight", node.inFlight.load()},
-                 {"slotsKept", node.keeper.slotCount()},
+                 {"slotsKept", node.shardCoordinator.slotCount()},
                  {"stopping", own.leaving},
                  {"members", members}});
 }
--- a/daemon/router.cpp
+++ b/daemon/router.cpp
@@ -30,7 +30,7 @@
     , link(std::make_shared<PeerTransport>(context, node))
     , membership(std::make_shared<MembershipService>(context, node, link))
     , leavingGossip(std::make_shared<LeavingGossip>(node, link))
-    , keeperService(std::make_shared<CoordinatorService>(node, link))
+    , coordinatorService(std::make_shared<CoordinatorService>(node, link))
     , shardSync(std::make_shared<ShardSync>(node, link))
     , limits(std::make_shared<LimitService>(node, link))
     , orders(std::make_shared<OrderService>(context, node, platformHttp))
@@ -38,7 +38,7 @@
     , platformSync(
           std::make_shared<PlatformSync>(context, node, platformHttp, membership, peerCalls))
     , statusWriter(std::make_shared<StatusWriter>(context, node, platformHttp))
-    , slots(std::make_shared<SlotClient>(context, node, link, keeperService))
+    , slots(std::make_shared<SlotClient>(context, node, link, coordinatorService))
     , claims(std::make_shared<ClaimService>(context, node, link, peerCalls, claimHttp))
     , suspects(std::make_shared<SuspectBroadcaster>(node, link))
 {
@@ -57,7 +57,7 @@
     // Waiting requests own the components that they wait in. A router destroyed with requests in
     // flight would otherwise leak itself and its sockets through these reference cycles.
     this->slots->dropPendingRequests();
-    this->keeperService->dropWaiters();
+    this->coordinatorService->dropWaiters();
     this->claims->dropPendingClaims();
     this->link->shutdown();
 }
@@ -68,7 +68,7 @@
         throw std::system_error(std::make_error_code(std::errc::address_in_use),
                                 "peer calls at " + toText(this->node.settings.peerCalls));
     }
-    this->keeperService->start();
+    this->coordinatorService->start();
     this->shardSync->start();
     this->slots->start();
     this->claims->start();
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -70,7 +70,7 @@
     std::shared_ptr<PeerTransport> link;
     std::shared_ptr<MembershipService> membership;
     std::shared_ptr<LeavingGossip> leavingGossip;
-    std::shared_ptr<CoordinatorService> keeperService;
+    std::shared_ptr<CoordinatorService> coordinatorService;
     std::shared_ptr<ShardSync> shardSync;
     std::shared_ptr<LimitService> limits;
     std::shared_ptr<OrderService> orders;
--- a/daemon/shardsync.cpp
+++ b/daemon/shardsync.cpp
@@ -18,22 +18,25 @@
                                                                          const Endpoint &from,
                                                                          PeerBody body) {
         const auto &digest = std::get<SlotDigest>(body);
-        if (self->node.keeper.checkDigest(sender, digest, self->node.clock.now())) {
+        if (self->node.shardCoordinator.checkDigest(sender, digest, self->node.clock.now())) {
             logEvent(Event::SlotsDiffer, {{"from", toText(from)}});
             self->link->send(from, SlotListRequest{digest.shard});
         }
     });
     this->link->setHandler<SlotList>(
         [self = this->shared_from_this()](std::uint64_t sender, const Endpoint &, PeerBody body) {
-            self->node.keeper.receiveList(sender, std::get<SlotList>(body), self->node.clock.now());
+            self->node.shardCoordinator.receiveList(sender, std::get<SlotList>(body),
+                                                    self->node.clock.now());
         });
     this->link->setHandler<ShardSummary>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &, PeerBody body) {
-            self->node.keeper.receiveSummary(std::get<ShardSummary>(body), self->node.clock.now());
+            self->node.shardCoordinator.receiveSummary(std::get<ShardSummary>(body),
+                                                       self->node.clock.now());
         });
     this->link->setHandler<ChatHints>(
         [self = this->shared_from_this()](std::uint64_t, const Endpoint &from, PeerBody body) {
-            self->node.keeper.receiveHints(std::get<ChatHints>(body), from, self->node.clock.now());
+            self->node.shardCoordinator.receiveHints(std::get<ChatHints>(body), from,
+                                                     self->node.clock.now());
         });
     asio::post(this->link->executor(), [self = this->shared_from_this()] { self->tick(); });
 }
@@ -41,7 +44,7 @@
 void ShardSync::tick()
 {
     this->sendSummaries();
-    this->sendHints(this->node.keeper.takeHints(
+    this->sendHints(this->node.shardCoordinator.takeHints(
         this->node.settings.peerDatagrams, *this->node.members.active(), this->node.clock.now()));
     this->timer.expires_after(summaryPeriod);
     this->timer.async_wait([self = this->shared_from_this()](const asio::error_code &error) {
@@ -55,7 +58,8 @@
 {
     const auto catalogue = this->node.catalogue.view();
     const MemberSnapshot active = this->node.members.active();
-    for (const ShardSummary &summary : this->node.keeper.summaries(this->node.clock.now())) {
+    for (const ShardSummary &summary :
+         this->node.shardCoordinator.summaries(this->node.clock.now())) {
         if (!catalogue || !catalogue->services.contains(summary.shard.service)) {
             continue;
         }
@@ -89,13 +93,13 @@
     std::erase_if(others,
                   [this](const Heartbeat &member) { return member.id == this->node.settings.id; });
     std::size_t slots = 0;
-    for (const SlotList &list : this->node.keeper.slotLists()) {
+    for (const SlotList &list : this->node.shardCoordinator.slotLists()) {
         if (const auto next = coordinatorOf(list.shard, others)) {
             slots += list.slots.size();
             this->link->send(next->datagramEndpoint, list);
         }
     }
-    this->sendHints(this->node.keeper.handOverHints(others));
+    this->sendHints(this->node.shardCoordinator.handOverHints(others));
     logEvent(Event::ShardsHandedOver, {{"slots", std::to_string(slots)}});
 }
 
--- a/daemon/slotclient.cpp
+++ b/daemon/slotclient.cpp
@@ -51,7 +51,7 @@
                        std::shared_ptr<CoordinatorService> keeper)
     : node(node)
     , link(std::move(link))
-    , keeper(std::move(keeper))
+    , coordinatorService(std::move(keeper))
     , heldSlots(std::make_shared<HeldSlots>(node, this->link))
     , releaseTimer(this->link->executor())
 {}
@@ -88,12 +88,12 @@
         this->tryFallback(way);
         return;
     }
-    const std::vector<Heartbeat> keepers = this->keepersToAsk(shards[way->shardIndex]);
-    if (way->keeperIndex < keepers.size()) {
-        this->askKeeper(way, keepers[way->keeperIndex]);
+    const std::vector<Heartbeat> keepers = this->coordinatorsToAsk(shards[way->shardIndex]);
+    if (way->coordinatorIndex < keepers.size()) {
+        this->askCoordinator(way, keepers[way->coordinatorIndex]);
         return;
     }
-    way->keeperIndex = 0;
+    way->coordinatorIndex = 0;
     way->shardIndex = way->waiting ? shards.size() : way->shardIndex + 1;
     this->tryShard(way);
 }
@@ -120,10 +120,10 @@
     way->answered = true;
     way->shardIndex = 0;
     logEvent(Event::KeeperReplaced, {{"shard", describe(shards.front())}});
-    this->askKeeper(way, this->node.heartbeat());
+    this->askCoordinator(way, this->node.heartbeat());
 }
 
-std::vector<Heartbeat> SlotClient::keepersToAsk(const Shard &shard)
+std::vector<Heartbeat> SlotClient::coordinatorsToAsk(const Shard &shard)
 {
     std::vector<Heartbeat> keepers = coordinatorsOf(shard, *this->node.members.active());
     if (keepers.size() > keepersAsked) {
@@ -144,10 +144,10 @@
     this->unresponsiveUntil[keeper] = this->node.clock.now() + silencePenalty;
 }
 
-void SlotClient::askKeeper(const AcquisitionPointer &way, const Heartbeat &keeper)
+void SlotClient::askCoordinator(const AcquisitionPointer &way, const Heartbeat &keeper)
 {
     const SlotRequirements &need = *way->requirements;
-    SlotRequest ask{this->nextAsk++, need.plan.shards[way->shardIndex], need.chatHash,
+    SlotRequest ask{this->nextRequestId++, need.plan.shards[way->shardIndex], need.chatHash,
                     need.fingerprint, need.avoid};
     if (way->waiting) {
         ask.waitMilliseconds = need.waitMilliseconds;
@@ -161,9 +161,9 @@
         self->handleOutcome(way, keeper, askId, reply);
     };
     if (keeper.id == this->node.settings.id && !way->waiting) {
-        this->keeper->ask(this->node.identity, ask, onReply);
+        this->coordinatorService->handleRequest(this->node.identity, ask, onReply);
     } else {
-        this->ask(keeper, std::move(ask), way->requirements, std::move(onReply));
+        this->startRequest(keeper, std::move(ask), way->requirements, std::move(onReply));
     }
 }
 
@@ -176,7 +176,7 @@
     if (!reply) {
         logEvent(Event::KeeperSilent, {{"keeper", keeper.id}, {"shard", describe(asked)}});
         this->markUnresponsive(keeper.id);
-        ++way->keeperIndex;
+        ++way->coordinatorIndex;
         this->tryShard(way);
         return;
     }
@@ -186,7 +186,7 @@
         return;
     }
     way->lastRefusal = reasonOf(reply);
-    way->keeperIndex = 0;
+    way->coordinatorIndex = 0;
     way->shardIndex = way->waiting ? way->requirements->plan.shards.size() : way->shardIndex + 1;
     this->tryShard(way);
 }
@@ -211,8 +211,8 @@
     return true;
 }
 
-void SlotClient::ask(const Heartbeat &keeper, SlotRequest ask,
-                     std::shared_ptr<const SlotRequirements> need, ReplyCallback done)
+void SlotClient::startRequest(const Heartbeat &keeper, SlotRequest ask,
+                              std::shared_ptr<const SlotRequirements> need, ReplyCallback done)
 {
     const bool local = keeper.id == this->node.settings.id;
     asio::post(this->link->executor(),
@@ -223,11 +223,11 @@
                        to, std::move(ask), std::move(done), nullptr, 0, std::move(need), local};
                    entry.timer = std::make_unique<asio::steady_timer>(self->link->executor());
                    self->pendingRequests.emplace(askId, std::move(entry));
-                   self->sendAsk(askId);
+                   self->sendRequest(askId);
                });
 }
 
-void SlotClient::sendAsk(std::uint32_t askId)
+void SlotClient::sendRequest(std::uint32_t askId)
 {
     const auto found = this->pendingRequests.find(askId);
     if (found == this->pendingRequests.end()) {
@@ -239,19 +239,19 @@
         return;
     }
     if (entry.local) {
-        this->keeper->ask(this->node.identity, entry.ask,
-                          [self = this->shared_from_this()](const SlotReply &reply) {
-                              asio::post(self->link->executor(),
-                                         [self, reply] { self->handleReply(reply); });
-                          });
+        this->coordinatorService->handleRequest(
+            this->node.identity, entry.request,
+            [self = this->shared_from_this()](const SlotReply &reply) {
+                asio::post(self->link->executor(), [self, reply] { self->handleReply(reply); });
+            });
     } else {
-        this->link->send(entry.keeper, entry.ask);
+        this->link->send(entry.coordinator, entry.request);
     }
     entry.timer->expires_after(entry.queued ? queuedPeriod : askTimeout);
     entry.timer->async_wait(
         [self = this->shared_from_this(), askId](const asio::error_code &error) {
             if (!error) {
-                self->sendAsk(askId);
+                self->sendRequest(askId);
             }
         });
 }
@@ -264,7 +264,7 @@
         return;
     }
     if (reply.verdict != SlotVerdict::Queued) {
-        this->finishAsk(reply.requestId, reply);
+        this->finishRequest(reply.requestId, reply);
         return;
     }
     PendingRequest &entry = found->second;
@@ -275,7 +275,7 @@
         entry.timer->async_wait([self = this->shared_from_this(),
                                  askId = reply.requestId](const asio::error_code &error) {
             if (!error) {
-                self->sendAsk(askId);
+                self->sendRequest(askId);
             }
         });
     }
@@ -284,14 +284,14 @@
 void SlotClient::timeOutRequest(std::uint32_t askId)
 {
     const PendingRequest &entry = this->pendingRequests.at(askId);
-    const ShardId shard = shardIdOf(entry.ask.shard);
+    const ShardId shard = shardIdOf(entry.request.shard);
     const TimePoint now = this->node.clock.now();
     this->node.metrics.count(Counter::SlotAskTimeouts);
     std::erase_if(this->timedOutRequests,
                   [now](const auto &item) { return now - item.second.since > givenUpMemory; });
-    this->timedOutRequests[askId] = {entry.keeper, shard, now};
-    this->sendRelease(entry.keeper, entry.local, shard, askId);
-    this->finishAsk(askId, std::nullopt);
+    this->timedOutRequests[askId] = {entry.coordinator, shard, now};
+    this->sendRelease(entry.coordinator, entry.local, shard, askId);
+    this->finishRequest(askId, std::nullopt);
 }
 
 /// Releases a grant that arrives after its request timed out. Otherwise its slot would stay counted
@@ -302,21 +302,21 @@
     if (reply.verdict != SlotVerdict::Granted || found == this->timedOutRequests.end()) {
         return;
     }
-    this->sendRelease(found->second.keeper,
-                      found->second.keeper == this->node.settings.peerDatagrams,
+    this->sendRelease(found->second.coordinator,
+                      found->second.coordinator == this->node.settings.peerDatagrams,
                       found->second.shard, reply.requestId);
 }
 
 void SlotClient::sendRelease(const Endpoint &keeper, bool local, ShardId shard, std::uint32_t askId)
 {
     if (local) {
-        this->keeper->release(this->node.identity, {shard, {askId}});
+        this->coordinatorService->release(this->node.identity, {shard, {askId}});
         return;
     }
     this->pendingReleases[{keeper, shard}].push_back(askId);
 }
 
-void SlotClient::finishAsk(std::uint32_t askId, const std::optional<SlotReply> &reply)
+void SlotClient::finishRequest(std::uint32_t askId, const std::optional<SlotReply> &reply)
 {
     const auto found = this->pendingRequests.find(askId);
     if (found == this->pendingRequests.end()) {
@@ -368,8 +368,9 @@
 
 void SlotClient::release(const HeldSlot &slot)
 {
-    if (slot.keeper.id == this->node.settings.id) {
-        this->keeper->release(this->node.identity, {shardIdOf(slot.shard), {slot.askId}});
+    if (slot.coordinator.id == this->node.settings.id) {
+        this->coordinatorService->release(this->node.identity,
+                                          {shardIdOf(slot.shard), {slot.requestId}});
     }
     asio::post(this->link->executor(),
                [self = this->shared_from_this(), slot] { self->releaseOnStrand(slot); });
@@ -378,15 +379,16 @@
 void SlotClient::releaseOnStrand(const HeldSlot &slot)
 {
     const ShardId shard = shardIdOf(slot.shard);
-    this->heldSlots->erase(slot.shard, slot.askId);
+    this->heldSlots->erase(slot.shard, slot.requestId);
     // The shard may have a new coordinator by now, which learnt of the slot from this router's
     // list.
-    std::set<Endpoint> keepers{slot.keeper.datagramEndpoint};
+    std::set<Endpoint> keepers{slot.coordinator.datagramEndpoint};
     if (const auto present = coordinatorOf(slot.shard, *this->node.members.active())) {
         keepers.insert(present->datagramEndpoint);
     }
     for (const Endpoint &keeper : keepers) {
-        this->sendRelease(keeper, keeper == this->node.settings.peerDatagrams, shard, slot.askId);
+        this->sendRelease(keeper, keeper == this->node.settings.peerDatagrams, shard,
+                          slot.requestId);
     }
     // Send at once unless releases were just sent: a chat that returns right after its answer would
     // find its own slot still counted and be moved to another engine. Only releases in quick
@@ -398,9 +400,9 @@
 
 std::uint32_t SlotClient::lowestPending(ShardId shard) const
 {
-    std::uint32_t lowest = this->nextAsk;
+    std::uint32_t lowest = this->nextRequestId;
     for (const auto &[askId, entry] : this->pendingRequests) {
-        if (shardIdOf(entry.ask.shard) == shard) {
+        if (shardIdOf(entry.request.shard) == shard) {
             lowest = std::min(lowest, askId);
         }
     }
--- a/daemon/slotclient.h
+++ b/daemon/slotclient.h
@@ -19,9 +19,9 @@
 /// A slot that this router holds on an upstream.
 struct HeldSlot
 {
-    Heartbeat keeper;
+    Heartbeat coordinator;
     Shard shard;
-    std::uint32_t askId = 0;
+    std::uint32_t requestId = 0;
     Upstream upstream;
 };
 
@@ -71,8 +71,8 @@
     using ReplyCallback = std::function<void(const std::optional<SlotReply> &)>;
     struct PendingRequest
     {
-        Endpoint keeper;
-        SlotRequest ask;
+        Endpoint coordinator;
+        SlotRequest request;
         ReplyCallback onReply;
         std::unique_ptr<asio::steady_timer> timer;
         int sendCount = 0;
@@ -84,7 +84,7 @@
     /// An unanswered slot request that this router no longer waits for.
     struct TimedOutRequest
     {
-        Endpoint keeper;
+        Endpoint coordinator;
         ShardId shard = 0;
         TimePoint since;
     };
@@ -97,7 +97,7 @@
         AcquireCallback onDone;
         std::size_t shardIndex = 0;
         /// Index in the shard's list of coordinators.
-        std::size_t keeperIndex = 0;
+        std::size_t coordinatorIndex = 0;
         bool answered = false;
         bool waiting = false;
         Reason lastRefusal;
@@ -106,32 +106,32 @@
 
     void tryShard(const AcquisitionPointer &way);
     void tryFallback(const AcquisitionPointer &way);
-    void askKeeper(const AcquisitionPointer &way, const Heartbeat &keeper);
+    void askCoordinator(const AcquisitionPointer &way, const Heartbeat &keeper);
     void handleOutcome(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
                        const std::optional<SlotReply> &reply);
     bool acceptGrant(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
                      UpstreamId upstreamId);
-    [[nodiscard]] std::vector<Heartbeat> keepersToAsk(const Shard &shard);
+    [[nodiscard]] std::vector<Heartbeat> coordinatorsToAsk(const Shard &shard);
     void markUnresponsive(const std::string &keeper);
     void releaseOnStrand(const HeldSlot &slot);
     [[nodiscard]] std::uint32_t lowestPending(ShardId shard) const;
-    void ask(const Heartbeat &keeper, SlotRequest ask, std::shared_ptr<const SlotRequirements> need,
-             ReplyCallback done);
-    void sendAsk(std::uint32_t askId);
+    void startRequest(const Heartbeat &keeper, SlotRequest ask,
+                      std::shared_ptr<const SlotRequirements> need, ReplyCallback done);
+    void sendRequest(std::uint32_t askId);
     void handleReply(const SlotReply &reply);
     void timeOutRequest(std::uint32_t askId);
     void releaseLateGrant(const SlotReply &reply);
     void sendRelease(const Endpoint &keeper, bool local, ShardId shard, std::uint32_t askId);
-    void finishAsk(std::uint32_t askId, const std::optional<SlotReply> &reply);
+    void finishRequest(std::uint32_t askId, const std::optional<SlotReply> &reply);
     void scheduleReleases();
     void flushReleases();
 
     Node &node;
     std::shared_ptr<PeerTransport> link;
-    std::shared_ptr<CoordinatorService> keeper;
+    std::shared_ptr<CoordinatorService> coordinatorService;
     std::shared_ptr<HeldSlots> heldSlots;
     asio::steady_timer releaseTimer;
-    std::atomic<std::uint32_t> nextAsk = 1;
+    std::atomic<std::uint32_t> nextRequestId = 1;
     TimePoint lastFlush;
     std::unordered_map<std::uint32_t, PendingRequest> pendingRequests;
     std::unordered_map<std::uint32_t, TimedOutRequest> timedOutRequests;
