--- a/ctl/blockingplatformclient.cpp
+++ b/ctl/blockingplatformclient.cpp
@@ -21,35 +21,36 @@
 
 PlatformResponse BlockingPlatformClient::get(const EntryKey &key)
 {
-    std::promise<PlatformResponse> answer;
+    std::promise<PlatformResponse> promise;
     this->client.get(std::string(nameOf(key.kind)), key.name,
-                     [&answer](PlatformResponse got) { answer.set_value(std::move(got)); });
-    return answer.get_future().get();
+                     [&promise](PlatformResponse answer) { promise.set_value(std::move(answer)); });
+    return promise.get_future().get();
 }
 
 PlatformResponse BlockingPlatformClient::put(const EntryKey &key, std::uint64_t ifVersion,
-                                           const nlohmann::json &body)
+                                             const nlohmann::json &body)
 {
-    std::promise<PlatformResponse> answer;
+    std::promise<PlatformResponse> promise;
     this->client.put(std::string(nameOf(key.kind)), key.name, ifVersion, body,
-                     [&answer](PlatformResponse got) { answer.set_value(std::move(got)); });
-    return answer.get_future().get();
+                     [&promise](PlatformResponse answer) { promise.set_value(std::move(answer)); });
+    return promise.get_future().get();
 }
 
 PlatformResponse BlockingPlatformClient::remove(const EntryKey &key, std::uint64_t ifVersion)
 {
-    std::promise<PlatformResponse> answer;
-    this->client.remove(std::string(nameOf(key.kind)), key.name, ifVersion,
-                        [&answer](PlatformResponse got) { answer.set_value(std::move(got)); });
-    return answer.get_future().get();
+    std::promise<PlatformResponse> promise;
+    this->client.remove(
+        std::string(nameOf(key.kind)), key.name, ifVersion,
+        [&promise](PlatformResponse answer) { promise.set_value(std::move(answer)); });
+    return promise.get_future().get();
 }
 
 std::optional<net::PlatformChanges> BlockingPlatformClient::list(const std::string &kinds)
 {
-    std::promise<std::optional<net::PlatformChanges>> answer;
+    std::promise<std::optional<net::PlatformChanges>> promise;
     this->client.listChanges(kinds, 0, std::chrono::milliseconds(0),
-                             [&answer](auto got) { answer.set_value(std::move(got)); });
-    return answer.get_future().get();
+                             [&promise](auto answer) { promise.set_value(std::move(answer)); });
+    return promise.get_future().get();
 }
 
 } // namespace plantainswitch::ctl
--- a/ctl/commands.cpp
+++ b/ctl/commands.cpp
@@ -33,7 +33,7 @@
     return file;
 }
 
-nlohmann::json withoutToken(nlohmann::json body)
+nlohmann::json redactToken(nlohmann::json body)
 {
     if (body.is_object() && body.contains("token")) {
         body["token"] = tokenPlaceholder;
@@ -41,16 +41,16 @@
     return body;
 }
 
-ordered_json differenceOf(const nlohmann::json &from, const nlohmann::json &to)
+ordered_json makeDifference(const nlohmann::json &from, const nlohmann::json &to)
 {
     ordered_json result = ordered_json::array();
     for (const nlohmann::json &change : nlohmann::json::diff(from, to)) {
         const auto path = change["path"].get<std::string>();
         ordered_json line{{"op", change["op"]}, {"path", path}};
         if (change.contains("value")) {
-            const bool secret = path.find("token") != std::string::npos;
+            const bool isSecret = path.find("token") != std::string::npos;
             line["value"] =
-                secret ? nlohmann::json(tokenPlaceholder) : withoutToken(change["value"]);
+                isSecret ? nlohmann::json(tokenPlaceholder) : redactToken(change["value"]);
         }
         result.push_back(std::move(line));
     }
@@ -78,16 +78,15 @@
                    OutputFormat output)
 {
     if (!answer.object) {
-        printResult(output, {{"result", "not written: the entry has been deleted"}});
+        printResult(output, {{"result", "not written: there is no such entry any more"}});
         return exitConflict;
     }
-    printResult(output,
-                {{"result", fmt::format("not written: the stored version is {}; your file is "
-                                        "unchanged. Read the entry with get and redo "
-                                        "your edit. From the stored entry to yours:",
-                                        answer.object->version)},
-                 {"version", answer.object->version},
-                 {"difference", differenceOf(answer.object->body, wanted)}});
+    printResult(output, {{"result",
+                          fmt::format("not written: version {} is there already; your file is kept "
+                                      "as it is, and this leads from what is there to your text:",
+                                      answer.object->version)},
+                         {"version", answer.object->version},
+                         {"difference", makeDifference(answer.object->body, wanted)}});
     return exitConflict;
 }
 
@@ -109,28 +108,28 @@
     case PlatformStatus::Unknown:
         break;
     }
-    printResult(output, {{"result", "no answer: the write may have taken effect; check with get"}});
+    printResult(output, {{"result", "no answer: the write may have taken effect; look with get"}});
     return exitOutcomeUnknown;
 }
 
-std::optional<StoredEntries> readKnown(BlockingPlatformClient &platform)
+std::optional<StoredEntries> loadStoredEntries(BlockingPlatformClient &platform)
 {
     const auto changes = platform.list(entryKinds);
     if (!changes) {
         std::cerr << "the platform can't be reached\n";
         return std::nullopt;
     }
-    StoredEntries known;
+    StoredEntries entries;
     for (const net::PlatformObject &object : changes->objects) {
         const auto kind = entryKindOf(object.kind);
         std::vector<Fault> faults;
         auto body =
             kind && !object.body.is_null() ? parseEntry(*kind, object.body, faults) : std::nullopt;
         if (body) {
-            known.emplace(EntryKey{*kind, object.name}, std::move(*body));
+            entries.emplace(EntryKey{*kind, object.name}, std::move(*body));
         }
     }
-    return known;
+    return entries;
 }
 
 /// Replaces tokenPlaceholder in \a file by the stored token.
@@ -186,7 +185,7 @@
         all.push_back({{"kind", object.kind},
                        {"name", object.name},
                        {"version", object.version},
-                       {"body", withoutToken(object.body)}});
+                       {"body", redactToken(object.body)}});
         if (output == OutputFormat::Table) {
             std::cout << fmt::format("{:<10} {:<32} {:>10}  {}\n", object.kind, object.name,
                                      object.version, object.body.value("owner", ""));
@@ -213,7 +212,7 @@
     // In both formats the output is a valid input of apply, also with a token placeholder.
     auto object = toJson(*answer.object);
     if (tokens == TokenVisibility::Hidden) {
-        object["body"] = withoutToken(object["body"]);
+        object["body"] = redactToken(object["body"]);
     }
     std::cout << (output == OutputFormat::Json ? object.dump() : object.dump(2)) << "\n";
     return exitOk;
@@ -225,16 +224,16 @@
     if (!file) {
         return exitBadInput;
     }
-    if (const auto ended = restoreToken(platform, *file, output)) {
-        return *ended;
+    if (const auto exitCode = restoreToken(platform, *file, output)) {
+        return *exitCode;
     }
-    const auto known = readKnown(platform);
-    if (!known) {
+    const auto storedEntries = loadStoredEntries(platform);
+    if (!storedEntries) {
         return exitFailed;
     }
     std::vector<Fault> faults;
     const auto body = parseEntry(file->key.kind, file->body, faults);
-    for (const Fault &fault : checkReferences(*body, *known)) {
+    for (const Fault &fault : checkReferences(*body, *storedEntries)) {
         std::cerr << path << ": " << plantainswitch::toText(fault) << "\n";
         faults.push_back(fault);
     }
@@ -255,27 +254,27 @@
         std::cerr << "the platform can't be reached\n";
         return exitFailed;
     }
-    const nlohmann::json there = answer.object ? answer.object->body : nlohmann::json();
-    if (hasTokenPlaceholder(*file) && there.is_object() && there.contains("token")) {
-        file->body["token"] = there["token"];
+    const nlohmann::json stored = answer.object ? answer.object->body : nlohmann::json();
+    if (hasTokenPlaceholder(*file) && stored.is_object() && stored.contains("token")) {
+        file->body["token"] = stored["token"];
     }
     printResult(output, {{"result", "apply would change:"},
-                         {"difference", differenceOf(there, file->body)}});
+                         {"difference", makeDifference(stored, file->body)}});
     return exitOk;
 }
 
 int deleteEntry(BlockingPlatformClient &platform, const EntryKey &key, std::uint64_t ifVersion,
                 OutputFormat output)
 {
-    const auto known = readKnown(platform);
-    if (!known) {
+    const auto storedEntries = loadStoredEntries(platform);
+    if (!storedEntries) {
         return exitFailed;
     }
-    const std::vector<EntryKey> users = entriesReferringTo(key, *known);
-    for (const EntryKey &user : users) {
-        std::cerr << toText(key) << " is in use by " << toText(user) << "\n";
+    const std::vector<EntryKey> referrers = entriesReferringTo(key, *storedEntries);
+    for (const EntryKey &referrer : referrers) {
+        std::cerr << toText(key) << " is in use by " << toText(referrer) << "\n";
     }
-    if (!users.empty()) {
+    if (!referrers.empty()) {
         return exitBadInput;
     }
     return reportWrite(platform.remove(key, ifVersion), {}, output);
@@ -289,27 +288,29 @@
         std::cerr << "the platform can't be reached\n";
         return exitFailed;
     }
-    std::uint64_t newest = 0;
+    std::uint64_t newestVersion = 0;
     for (const net::PlatformObject &object : entries->objects) {
-        newest = std::max(newest, object.version);
+        newestVersion = std::max(newestVersion, object.version);
     }
-    ordered_json places = ordered_json::array();
+    ordered_json dataCentres = ordered_json::array();
     for (const net::PlatformObject &object : reports->objects) {
         if (object.body.is_object()) {
-            places.push_back(ordered_json(object.body));
+            dataCentres.push_back(ordered_json(object.body));
         }
     }
     if (output == OutputFormat::Json) {
-        std::cout << ordered_json{{"newestVersion", newest}, {"places", places}}.dump(2) << "\n";
+        std::cout << ordered_json{{"newestVersion", newestVersion}, {"places", dataCentres}}.dump(2)
+                  << "\n";
         return exitOk;
     }
-    std::cout << fmt::format("newest version {}\n{:<20} {:>8} {:>10} {:>8}  {}\n", newest, "place",
-                             "routers", "lowest", "behind", "unreadable");
-    for (const auto &place : places) {
-        std::cout << fmt::format("{:<20} {:>8} {:>10} {:>8}  {}\n", place.value("place", ""),
-                                 place.value("routers", 0U), place.value("lowestVersion", 0U),
-                                 place.value("lowestVersion", 0U) < newest ? "yes" : "no",
-                                 place.value("unreadable", ordered_json::array()).dump());
+    std::cout << fmt::format("newest version {}\n{:<20} {:>8} {:>10} {:>8}  {}\n", newestVersion,
+                             "place", "routers", "lowest", "behind", "unreadable");
+    for (const auto &dataCentre : dataCentres) {
+        std::cout << fmt::format(
+            "{:<20} {:>8} {:>10} {:>8}  {}\n", dataCentre.value("place", ""),
+            dataCentre.value("routers", 0U), dataCentre.value("lowestVersion", 0U),
+            dataCentre.value("lowestVersion", 0U) < newestVersion ? "yes" : "no",
+            dataCentre.value("unreadable", ordered_json::array()).dump());
     }
     return exitOk;
 }
--- a/ctl/entryfile.cpp
+++ b/ctl/entryfile.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-void checkClass(const std::string &name, const StoredEntries &known, std::vector<Fault> &faults)
+void checkDataClass(const std::string &name, const StoredEntries &stored,
+                    std::vector<Fault> &faults)
 {
-    if (!known.contains({EntryKind::DataClass, name})) {
+    if (!stored.contains({EntryKind::DataClass, name})) {
         faults.push_back({"/dataClass", "\"" + name + "\"", "a data class that exists"});
     }
 }
@@ -53,11 +54,11 @@
     if (json->contains("name") && (*json)["name"].is_string()) {
         file.key.name = (*json)["name"].get<std::string>();
     }
-    const bool plainName =
+    const bool isValidName =
         !file.key.name.empty()
         && file.key.name.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-.")
                == std::string::npos;
-    if (!plainName) {
+    if (!isValidName) {
         faults.push_back({"/name", "an invalid name", "lower-case letters, digits, '-' and '.'"});
     }
     const auto version = json->find("version");
@@ -82,15 +83,15 @@
            && file.body.value("token", "") == tokenPlaceholder;
 }
 
-std::vector<Fault> checkReferences(const EntryBody &body, const StoredEntries &known)
+std::vector<Fault> checkReferences(const EntryBody &body, const StoredEntries &stored)
 {
     std::vector<Fault> faults;
     if (const auto *service = std::get_if<Service>(&body)) {
-        checkClass(service->dataClass, known, faults);
+        checkDataClass(service->dataClass, stored, faults);
     } else if (const auto *workspace = std::get_if<Workspace>(&body)) {
-        checkClass(workspace->dataClass, known, faults);
+        checkDataClass(workspace->dataClass, stored, faults);
         for (const std::string &name : workspace->services) {
-            if (!known.contains({EntryKind::Service, name})) {
+            if (!stored.contains({EntryKind::Service, name})) {
                 faults.push_back({"/services", "\"" + name + "\"", "services that exist"});
             }
         }
@@ -98,15 +99,15 @@
     return faults;
 }
 
-std::vector<EntryKey> entriesReferringTo(const EntryKey &key, const StoredEntries &known)
+std::vector<EntryKey> entriesReferringTo(const EntryKey &key, const StoredEntries &stored)
 {
-    std::vector<EntryKey> users;
-    for (const auto &[other, body] : known) {
+    std::vector<EntryKey> referrers;
+    for (const auto &[other, body] : stored) {
         if (refersTo(body, key)) {
-            users.push_back(other);
+            referrers.push_back(other);
         }
     }
-    return users;
+    return referrers;
 }
 
 } // namespace plantainswitch::ctl
--- a/ctl/entryfile.h
+++ b/ctl/entryfile.h
@@ -36,10 +36,11 @@
 
 /// \returns a fault for each data class or service that \a body refers to and that does not exist.
 /// Such a reference would reject every request of a workspace, which only its callers would see.
-[[nodiscard]] std::vector<Fault> checkReferences(const EntryBody &body, const StoredEntries &known);
+[[nodiscard]] std::vector<Fault> checkReferences(const EntryBody &body,
+                                                 const StoredEntries &stored);
 
 /// \returns the entries that refer to \a key and so prevent its deletion.
 [[nodiscard]] std::vector<EntryKey> entriesReferringTo(const EntryKey &key,
-                                                       const StoredEntries &known);
+                                                       const StoredEntries &stored);
 
 } // namespace plantainswitch::ctl
--- a/ctl/main.cpp
+++ b/ctl/main.cpp
@@ -29,46 +29,47 @@
 )";
 
 /// Runs get or delete, the commands that name an entry.
-int runOnEntry(BlockingPlatformClient &platform, const std::vector<std::string> &words,
-               const options::variables_map &given, OutputFormat output)
+int runOnEntry(BlockingPlatformClient &platform, const std::vector<std::string> &arguments,
+               const options::variables_map &variables, OutputFormat output)
 {
-    constexpr std::size_t wordsWithKey = 3;
-    const auto kind = words.size() == wordsWithKey ? entryKindOf(words[1]) : std::nullopt;
+    constexpr std::size_t argumentsWithKey = 3;
+    const auto kind =
+        arguments.size() == argumentsWithKey ? entryKindOf(arguments[1]) : std::nullopt;
     if (!kind) {
         std::cerr << "get and delete need a kind (dataclass, workspace or service) and a name\n";
         return exitBadInput;
     }
-    const EntryKey key{*kind, words[2]};
-    if (words.front() == "get") {
-        const bool shown = given.count("show-token") > 0;
+    const EntryKey key{*kind, arguments[2]};
+    if (arguments.front() == "get") {
+        const bool showsToken = variables.count("show-token") > 0;
         return getEntry(platform, key, output,
-                        shown ? TokenVisibility::Shown : TokenVisibility::Hidden);
+                        showsToken ? TokenVisibility::Shown : TokenVisibility::Hidden);
     }
-    if (given.count("if-version") == 0) {
+    if (variables.count("if-version") == 0) {
         std::cerr << "delete needs --if-version N, the version that get or list shows\n";
         return exitBadInput;
     }
-    return deleteEntry(platform, key, given["if-version"].as<std::uint64_t>(), output);
+    return deleteEntry(platform, key, variables["if-version"].as<std::uint64_t>(), output);
 }
 
-int runCommand(const options::variables_map &given)
+int runCommand(const options::variables_map &variables)
 {
-    const auto words = given["words"].as<std::vector<std::string>>();
-    const std::string &command = words.front();
-    const std::string form = given["output"].as<std::string>();
-    if (form != "json" && form != "table") {
+    const auto arguments = variables["words"].as<std::vector<std::string>>();
+    const std::string &command = arguments.front();
+    const std::string outputName = variables["output"].as<std::string>();
+    if (outputName != "json" && outputName != "table") {
         std::cerr << "--output must be json or table\n";
         return exitBadInput;
     }
-    const OutputFormat output = form == "json" ? OutputFormat::Json : OutputFormat::Table;
+    const OutputFormat output = outputName == "json" ? OutputFormat::Json : OutputFormat::Table;
     if (command == "explain") {
-        if (words.size() < 2) {
+        if (arguments.size() < 2) {
             std::cerr << "explain needs the request's id\n";
             return exitBadInput;
         }
-        return explainRequest(words[1], {words.begin() + 2, words.end()});
+        return explainRequest(arguments[1], {arguments.begin() + 2, arguments.end()});
     }
-    BlockingPlatformClient platform(given["platform"].as<std::string>());
+    BlockingPlatformClient platform(variables["platform"].as<std::string>());
     if (command == "list") {
         return listEntries(platform, output);
     }
@@ -76,25 +77,25 @@
         return showStatus(platform, output);
     }
     if (command == "apply" || command == "diff") {
-        if (given.count("file") == 0) {
+        if (variables.count("file") == 0) {
             std::cerr << command << " needs an entry file: -f FILE\n";
             return exitBadInput;
         }
-        const auto path = given["file"].as<std::string>();
+        const auto path = variables["file"].as<std::string>();
         return command == "apply" ? applyFile(platform, path, output)
                                   : diffFile(platform, path, output);
     }
     if (command == "get" || command == "delete") {
-        return runOnEntry(platform, words, given, output);
+        return runOnEntry(platform, arguments, variables, output);
     }
     std::cerr << usage;
     return exitBadInput;
 }
 
-int runTool(int argc, char **argv)
+int run(int argc, char **argv)
 {
-    options::options_description described("Options");
-    described.add_options()("help", "show this text")(
+    options::options_description description("Options");
+    description.add_options()("help", "show this text")(
         "words", options::value<std::vector<std::string>>(), "command and its arguments")(
         "platform", options::value<std::string>()->default_value("http://127.0.0.1:21000"),
         "URL of the platform's object API")("file,f", options::value<std::string>(), "entry file")(
@@ -104,20 +105,22 @@
         "output format: json or table");
     options::positional_options_description positions;
     positions.add("words", -1);
-    options::variables_map given;
+    options::variables_map variables;
     try {
-        options::store(
-            options::command_line_parser(argc, argv).options(described).positional(positions).run(),
-            given);
+        options::store(options::command_line_parser(argc, argv)
+                           .options(description)
+                           .positional(positions)
+                           .run(),
+                       variables);
     } catch (const options::error &error) {
         std::cerr << error.what() << "\n";
         return exitBadInput;
     }
-    if (given.count("help") > 0 || given.count("words") == 0) {
-        std::cout << usage << described << "\n";
-        return given.count("help") > 0 ? exitOk : exitBadInput;
+    if (variables.count("help") > 0 || variables.count("words") == 0) {
+        std::cout << usage << description << "\n";
+        return variables.count("help") > 0 ? exitOk : exitBadInput;
     }
-    return runCommand(given);
+    return runCommand(variables);
 }
 
 } // namespace
@@ -125,7 +128,7 @@
 int main(int argc, char **argv)
 {
     try {
-        return runTool(argc, argv);
+        return run(argc, argv);
     } catch (const std::exception &error) {
         std::cerr << "plantainctl: " << error.what() << "\n";
         return exitFailed;
--- a/daemon/callerrequest.cpp
+++ b/daemon/callerrequest.cpp
@@ -8,9 +8,9 @@
 
 constexpr std::string_view chatPath = "/v1/chat/completions";
 constexpr std::string_view servicePrefix = "/services/";
-constexpr std::string_view bearer = "Bearer ";
+constexpr std::string_view bearerPrefix = "Bearer ";
 
-Reason bad(std::string detail)
+Reason badRequest(std::string detail)
 {
     return {ErrorKind::BadRequest, std::move(detail), std::nullopt};
 }
@@ -20,24 +20,24 @@
     std::vector<Fault> faults;
     const std::optional<nlohmann::json> json = parseJson(request.body, faults);
     if (!json || !json->is_object()) {
-        reason =
-            bad(json ? "the body is not a JSON object" : "the body: " + toText(faults.front()));
+        reason = badRequest(json ? "the body is not a JSON object"
+                                 : "the body: " + toText(faults.front()));
         return false;
     }
     const auto model = json->find("model");
     if (model == json->end() || !model->is_string()
         || model->get_ref<const std::string &>().empty()) {
-        reason = bad("\"model\" must be a non-empty string");
+        reason = badRequest("\"model\" must be a non-empty string");
         return false;
     }
     const auto messages = json->find("messages");
     if (messages == json->end() || !messages->is_array() || messages->empty()) {
-        reason = bad("\"messages\" must be a list with at least one message");
+        reason = badRequest("\"messages\" must be a list with at least one message");
         return false;
     }
     const auto stream = json->find("stream");
     if (stream != json->end() && !stream->is_boolean()) {
-        reason = bad("\"stream\" must be true or false");
+        reason = badRequest("\"stream\" must be true or false");
         return false;
     }
     request.service = model->get<std::string>();
@@ -55,20 +55,19 @@
     request.path += http.rawQuery;
     request.isModelCall = false;
     if (request.service.empty()) {
-        reason = bad("the path names no service");
+        reason = badRequest("the path names no service");
         return false;
     }
     return true;
 }
 
 /// Parses seconds since 1970, written as at most 11 digits.
-bool parseIssued(CallerRequest &request, std::string_view text)
+bool parseKeyIssued(CallerRequest &request, std::string_view text)
 {
-    constexpr std::size_t mostDigits = 11;
+    constexpr std::size_t maxDigits = 11;
     constexpr std::uint64_t base = 10;
     constexpr std::uint64_t millisecondsOfSecond = 1000;
-    if (text.size() > mostDigits
-        || text.find_first_not_of("0123456789") != std::string_view::npos) {
+    if (text.size() > maxDigits || text.find_first_not_of("0123456789") != std::string_view::npos) {
         return false;
     }
     for (const char c : text) {
@@ -79,27 +78,27 @@
     return true;
 }
 
-bool parseMarks(CallerRequest &request, const net::HttpRequest &http, Reason &reason)
+bool parseHeaders(CallerRequest &request, const net::HttpRequest &http, Reason &reason)
 {
-    const std::string_view mark = http.header(nonIdempotentHeader);
-    if (!mark.empty() && mark != "true" && mark != "false") {
-        reason = bad("x-non-idempotent must be true or false");
+    const std::string_view flag = http.header(nonIdempotentHeader);
+    if (!flag.empty() && flag != "true" && flag != "false") {
+        reason = badRequest("x-non-idempotent must be true or false");
         return false;
     }
-    request.nonIdempotent = mark == "true";
+    request.nonIdempotent = flag == "true";
     request.idempotencyKey = http.header(idempotencyKeyHeader);
     request.chatId = http.header(chatHeader);
     if (request.nonIdempotent && request.idempotencyKey.empty()) {
-        reason = bad("a non-idempotent request needs an idempotency-key");
+        reason = badRequest("a non-idempotent request needs an idempotency-key");
         return false;
     }
-    if (!parseIssued(request, http.header(keyIssuedHeader))) {
-        reason = bad("x-key-issued must be whole seconds since 1970");
+    if (!parseKeyIssued(request, http.header(keyIssuedHeader))) {
+        reason = badRequest("x-key-issued must be whole seconds since 1970");
         return false;
     }
     if (request.idempotencyKey.size() > maxChatIdOrKeyBytes
         || request.chatId.size() > maxChatIdOrKeyBytes) {
-        reason = bad("a chat id or idempotency-key is longer than 200 bytes");
+        reason = badRequest("a chat id or idempotency-key is longer than 200 bytes");
         return false;
     }
     return true;
@@ -107,7 +106,7 @@
 
 } // namespace
 
-std::optional<CallerRequest> parseCallerRequest(net::HttpRequest http, std::size_t largestBody,
+std::optional<CallerRequest> parseCallerRequest(net::HttpRequest http, std::size_t maxBodyBytes,
                                                 Reason &reason)
 {
     if (!http.oversizedPart.empty()) {
@@ -118,16 +117,16 @@
     request.method = http.method;
     request.contentType = http.header("content-type");
     const std::string_view authorization = http.header("authorization");
-    if (authorization.starts_with(bearer)) {
-        request.token = authorization.substr(bearer.size());
+    if (authorization.starts_with(bearerPrefix)) {
+        request.token = authorization.substr(bearerPrefix.size());
     }
-    if (http.body.size() > largestBody) {
+    if (http.body.size() > maxBodyBytes) {
         reason = {ErrorKind::TooLarge,
-                  "the body is larger than " + std::to_string(largestBody) + " bytes",
+                  "the body is larger than " + std::to_string(maxBodyBytes) + " bytes",
                   {}};
         return std::nullopt;
     }
-    if (!parseMarks(request, http, reason)) {
+    if (!parseHeaders(request, http, reason)) {
         return std::nullopt;
     }
     request.body = std::move(http.body);
--- a/daemon/callerrequest.h
+++ b/daemon/callerrequest.h
@@ -45,6 +45,6 @@
 /// \param reason receives the refusal if the request is not valid
 /// \returns the request, or nothing if it must be refused.
 [[nodiscard]] std::optional<CallerRequest>
-parseCallerRequest(net::HttpRequest request, std::size_t largestBody, Reason &reason);
+parseCallerRequest(net::HttpRequest request, std::size_t maxBodyBytes, Reason &reason);
 
 } // namespace plantainswitch
--- a/daemon/claimservice.cpp
+++ b/daemon/claimservice.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-constexpr const char *logKind = "claimlog";
+constexpr const char *claimLogKind = "claimlog";
 /// A request that could not be claimed within this time is refused as not run.
 constexpr std::chrono::milliseconds claimDeadline{2000};
 /// Once the store has failed for this long, claims are refused at once instead of at their
 /// deadline.
-constexpr std::chrono::milliseconds failingLong{1000};
+constexpr std::chrono::milliseconds storeFailureThreshold{1000};
 
 WallTime wallNow()
 {
     return std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
 }
 
-StoreResponse answerOf(const net::PlatformResponse &from)
+StoreResponse toStoreAnswer(const net::PlatformResponse &from)
 {
     StoreResponse to;
     switch (from.status) {
@@ -232,7 +232,7 @@
     const ClaimLog &log = slice.log;
     // While the store fails, one claim at a time is let through as a probe and all others are
     // refused at once. A claim that is not queued is never written.
-    const bool failing = log.failingSince && now - *log.failingSince > failingLong;
+    const bool failing = log.failingSince && now - *log.failingSince > storeFailureThreshold;
     if ((failing && (log.callOutstanding || now < log.nextWriteAt))
         || !enqueueClaim(slice.log, ask)) {
         return ClaimVerdict::Unavailable;
@@ -265,8 +265,8 @@
     if (!wake) {
         return;
     }
-    constexpr std::chrono::milliseconds least{1};
-    slice.timer->expires_at(std::max<TimePoint>(*wake, now + least));
+    constexpr std::chrono::milliseconds minDelay{1};
+    slice.timer->expires_at(std::max<TimePoint>(*wake, now + minDelay));
     slice.timer->async_wait(asio::bind_executor(
         this->strand, [self = this->shared_from_this(), &slice](const asio::error_code &error) {
             if (!error) {
@@ -283,18 +283,18 @@
     };
     if (call.write) {
         this->node.metrics.count(Counter::ClaimWrites);
-        this->platform.put(logKind, call.name, call.ifVersion, call.body, std::move(done));
+        this->platform.put(claimLogKind, call.name, call.ifVersion, call.body, std::move(done));
     } else {
         this->node.metrics.count(Counter::ClaimReads);
-        this->platform.get(logKind, call.name, std::move(done));
+        this->platform.get(claimLogKind, call.name, std::move(done));
     }
 }
 
 void ClaimService::onStoreResponse(Slice &slice, const net::PlatformResponse &answer)
 {
     const bool failing = slice.log.failingSince.has_value();
-    this->deliverReplies(slice,
-                         handleStoreResponse(slice.log, answerOf(answer), this->node.clock.now()));
+    this->deliverReplies(
+        slice, handleStoreResponse(slice.log, toStoreAnswer(answer), this->node.clock.now()));
     if (failing != slice.log.failingSince.has_value()) {
         logEvent(failing ? Event::ClaimStoreBack : Event::ClaimStoreFailing,
                  {{"slice", std::to_string(slice.log.slice)}, {"detail", answer.detail}});
--- a/daemon/coordinatorservice.cpp
+++ b/daemon/coordinatorservice.cpp
@@ -10,12 +10,12 @@
 
 /// Interval of the expiry check: a waiting request is told of its expiry at most this late.
 constexpr std::chrono::milliseconds expiryPeriod{20};
-constexpr std::int64_t longestRetrySeconds = 60;
+constexpr std::int64_t maxRetrySeconds = 60;
 
 std::uint32_t retrySeconds(Duration expected)
 {
     const auto whole = std::chrono::ceil<Seconds>(expected).count();
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(whole, 1, longestRetrySeconds));
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(whole, 1, maxRetrySeconds));
 }
 
 } // namespace
@@ -109,9 +109,10 @@
     grantView.readyEngines =
         readyUpstreamsOf(this->node.upstreams, ask.shard, service->shards, now);
     const auto keeper = coordinatorOf(ask.shard, *this->node.members.active());
-    const bool own = keeper && keeper->id == this->node.settings.id;
+    const bool isOwnKeeper = keeper && keeper->id == this->node.settings.id;
     if (this->node.suspects.statusOf(ask.fingerprint, now) == SuspectStatus::None) {
-        return this->node.shardCoordinator.grant(router, ask, std::move(grantView), own, now);
+        return this->node.shardCoordinator.grant(router, ask, std::move(grantView), isOwnKeeper,
+                                                 now);
     }
     // Empty instead of Overflow: a queued suspect would block the requests behind it.
     const auto running =
@@ -119,10 +120,11 @@
     if (this->node.suspects.blocks(ask.fingerprint, running, now)) {
         return {ask.requestId, SlotVerdict::Empty, 0};
     }
-    SlotRequest apart = ask;
-    const auto away = this->node.suspects.excludedFor(ask.fingerprint, running, now);
-    apart.avoid.insert(apart.avoid.end(), away.begin(), away.end());
-    return this->node.shardCoordinator.grant(router, apart, std::move(grantView), own, now);
+    SlotRequest restrictedAsk = ask;
+    const auto excluded = this->node.suspects.excludedFor(ask.fingerprint, running, now);
+    restrictedAsk.avoid.insert(restrictedAsk.avoid.end(), excluded.begin(), excluded.end());
+    return this->node.shardCoordinator.grant(router, restrictedAsk, std::move(grantView),
+                                             isOwnKeeper, now);
 }
 
 void CoordinatorService::grantWaiting(ShardQueue &shard, Replies &replies)
--- a/daemon/heldslots.cpp
+++ b/daemon/heldslots.cpp
@@ -10,7 +10,7 @@
 constexpr std::chrono::milliseconds digestPeriod{2000};
 /// A shard without slots is still reported for this long, so that its digest reveals a lost
 /// release.
-constexpr std::chrono::seconds reportedAfterUse{30};
+constexpr std::chrono::seconds emptyShardReportPeriod{30};
 
 } // namespace
 
@@ -58,7 +58,7 @@
 {
     const TimePoint now = this->node.clock.now();
     std::erase_if(this->shards, [now](const auto &each) {
-        return each.second.slots.empty() && now - each.second.lastUsed > reportedAfterUse;
+        return each.second.slots.empty() && now - each.second.lastUsed > emptyShardReportPeriod;
     });
     const MemberSnapshot active = this->node.members.active();
     for (const auto &[id, entry] : this->shards) {
--- a/daemon/leavinggossip.cpp
+++ b/daemon/leavinggossip.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds tellPeriod{100};
-constexpr std::size_t localTargets = 3;
-constexpr std::size_t anyTargets = 2;
+constexpr std::chrono::milliseconds gossipPeriod{100};
+constexpr std::size_t targetsInDataCentre = 3;
+constexpr std::size_t targetsElsewhere = 2;
 /// VMs per datagram, few enough that it stays below maxDatagramBytes.
-constexpr std::size_t vmsInNotice = 12;
+constexpr std::size_t maxVmsPerNotice = 12;
 
 } // namespace
 
@@ -43,7 +43,7 @@
     this->gossip(this->previousNotice);
     this->gossip(fresh);
     this->previousNotice = fresh;
-    this->timer.expires_after(tellPeriod);
+    this->timer.expires_after(gossipPeriod);
     this->timer.async_wait([self = this->shared_from_this()](const asio::error_code &error) {
         if (!error) {
             self->tick();
@@ -65,12 +65,12 @@
         }
     }
     std::vector<Heartbeat> targets;
-    std::sample(local.begin(), local.end(), std::back_inserter(targets), localTargets,
+    std::sample(local.begin(), local.end(), std::back_inserter(targets), targetsInDataCentre,
                 this->random);
-    std::sample(others.begin(), others.end(), std::back_inserter(targets), anyTargets,
+    std::sample(others.begin(), others.end(), std::back_inserter(targets), targetsElsewhere,
                 this->random);
-    for (std::size_t first = 0; first < notice.vms.size(); first += vmsInNotice) {
-        const std::size_t last = std::min(notice.vms.size(), first + vmsInNotice);
+    for (std::size_t first = 0; first < notice.vms.size(); first += maxVmsPerNotice) {
+        const std::size_t last = std::min(notice.vms.size(), first + maxVmsPerNotice);
         const LeavingNotice part{{notice.vms.begin() + static_cast<std::ptrdiff_t>(first),
                                   notice.vms.begin() + static_cast<std::ptrdiff_t>(last)}};
         for (const Heartbeat &target : targets) {
--- a/daemon/limitservice.cpp
+++ b/daemon/limitservice.cpp
@@ -12,7 +12,7 @@
 /// apart.
 constexpr std::chrono::milliseconds tickPeriod{250};
 /// Uses per datagram. This many stay well below the datagram limit.
-constexpr std::size_t usesInDatagram = 40;
+constexpr std::size_t maxUsesPerDatagram = 40;
 
 } // namespace
 
@@ -82,8 +82,8 @@
                                       now);
         return;
     }
-    for (std::size_t first = 0; first < uses.size(); first += usesInDatagram) {
-        const std::size_t last = std::min(uses.size(), first + usesInDatagram);
+    for (std::size_t first = 0; first < uses.size(); first += maxUsesPerDatagram) {
+        const std::size_t last = std::min(uses.size(), first + maxUsesPerDatagram);
         LimitReport report;
         report.sequence = this->sequence;
         report.uses.assign(uses.begin() + static_cast<std::ptrdiff_t>(first),
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::uint32_t ageOf(TimePoint at, TimePoint now) noexcept
+std::uint32_t ageMilliseconds(TimePoint at, TimePoint now) noexcept
 {
     const auto age = std::chrono::duration_cast<Milliseconds>(now - at).count();
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(age, 0, neverConfirmed - 1));
@@ -57,7 +57,8 @@
     const CatalogueFreshness standing = this->catalogue.freshness();
     heartbeat.catalogueVersion = standing.completeVersion;
     if (standing.confirmedAt) {
-        heartbeat.catalogueAgeMilliseconds = ageOf(*standing.confirmedAt, this->clock.now());
+        heartbeat.catalogueAgeMilliseconds =
+            ageMilliseconds(*standing.confirmedAt, this->clock.now());
     }
     heartbeat.vmListVersion = this->vms.version();
     heartbeat.vmListDigest = this->vms.digest();
--- a/daemon/orderservice.cpp
+++ b/daemon/orderservice.cpp
@@ -14,18 +14,18 @@
 constexpr const char *leaseKind = "orderlease";
 constexpr int statusOk = 200;
 
-std::string ordersOf(const Vm &engine)
+std::string ordersUrl(const Vm &engine)
 {
     return "http://" + toText(engine.endpoint) + "/orders";
 }
 
-std::string textOf(const nlohmann::json &json, const char *name)
+std::string stringField(const nlohmann::json &json, const char *name)
 {
     const auto found = json.find(name);
     return found != json.end() && found->is_string() ? found->get<std::string>() : "";
 }
 
-EngineStatus readingOf(const Vm &vm, const net::HttpResponse &answer)
+EngineStatus parseReading(const Vm &vm, const net::HttpResponse &answer)
 {
     EngineStatus reading;
     reading.vm = vm;
@@ -34,8 +34,8 @@
         return reading;
     }
     reading.isReachable = true;
-    reading.setup = {textOf(json, "model"), textOf(json, "version"), textOf(json, "adapter"),
-                     textOf(json, "role")};
+    reading.setup = {stringField(json, "model"), stringField(json, "version"),
+                     stringField(json, "adapter"), stringField(json, "role")};
     const auto loading = json.find("loading");
     reading.isLoading = loading != json.end() && loading->is_boolean() && loading->get<bool>();
     const auto fencing = json.find("fencing");
@@ -54,12 +54,12 @@
             {"fencing", fencing}};
 }
 
-std::optional<LeaseObject> leaseOf(const net::PlatformResponse &answer)
+std::optional<LeaseObject> parseLease(const net::PlatformResponse &answer)
 {
     if (!answer.object || !answer.object->body.is_object()) {
         return std::nullopt;
     }
-    return LeaseObject{textOf(answer.object->body, "holder"), answer.object->version};
+    return LeaseObject{stringField(answer.object->body, "holder"), answer.object->version};
 }
 
 } // namespace
@@ -131,7 +131,7 @@
     }
     for (std::size_t index = 0; index < engines.size(); ++index) {
         net::HttpCall call;
-        call.url = ordersOf(engines[index].vm);
+        call.url = ordersUrl(engines[index].vm);
         call.totalTimeout = engineTimeout;
         this->http.fetch(std::move(call), [self = this->shared_from_this(), pool,
                                            index](const net::HttpResponse &answer) {
@@ -144,7 +144,7 @@
 void OrderService::handleReading(const PoolPointer &pool, std::size_t index,
                                  const net::HttpResponse &answer)
 {
-    pool->engines[index] = readingOf(pool->engines[index].vm, answer);
+    pool->engines[index] = parseReading(pool->engines[index].vm, answer);
     if (--pool->pendingReadings > 0) {
         return;
     }
@@ -179,7 +179,7 @@
                     return;
                 }
                 const bool held = pool->lease.heldVersion.has_value();
-                observeLease(pool->lease, leaseOf(answer), self->holderId(),
+                observeLease(pool->lease, parseLease(answer), self->holderId(),
                              self->node.clock.now());
                 if (held && !pool->lease.heldVersion) {
                     logEvent(Event::OrderLeaseLost, {{"service", pool->service}});
@@ -248,7 +248,7 @@
                                 {"fencing", std::to_string(fencing)}});
     net::HttpCall call;
     call.method = "PUT";
-    call.url = ordersOf(engine.vm);
+    call.url = ordersUrl(engine.vm);
     call.body = orderBody(pool->wanted.setup, fencing).dump();
     call.totalTimeout = engineTimeout;
     call.freshConnection = true;
--- a/daemon/platformsync.cpp
+++ b/daemon/platformsync.cpp
@@ -8,29 +8,29 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds watchWait{5000};
+constexpr milliseconds longPollWait{5000};
 /// Pause between two calls of a watcher, so that a burst of edits doesn't become a burst of calls.
 constexpr milliseconds watchSpacing{200};
 constexpr milliseconds retryDelay{500};
-constexpr milliseconds roleSpacing{1000};
-constexpr milliseconds vmPeriod{1000};
+constexpr milliseconds roleCheckPeriod{1000};
+constexpr milliseconds vmPollPeriod{1000};
 constexpr milliseconds pullSpacing{100};
 /// A router whose catalogue no watcher has confirmed for this long asks the platform itself, at a
 /// low rate. Otherwise a data centre in which only the watchers are cut off would go stale as a
 /// whole.
-constexpr Duration confirmationMissed = Seconds{20};
-constexpr milliseconds unaidedSpacing{10'000};
+constexpr Duration confirmationTimeout = Seconds{20};
+constexpr milliseconds fallbackSpacing{10'000};
 /// After an object came without a usable name or version, all objects are read again after this
 /// time.
 constexpr Duration rereadDelay = Seconds{30};
 /// Stamps of two watchers may interleave, so pulls also ask for lines that are this many
 /// milliseconds older than the newest.
-constexpr std::uint64_t stampWindow = 10'000;
+constexpr std::uint64_t stampOverlap = 10'000;
 /// While pulls leave a difference, one in this many asks for all lines.
-constexpr std::uint64_t wholeListEvery = 8;
+constexpr std::uint64_t fullVmListEvery = 8;
 constexpr const char *watchedKinds = "dataclass,workspace,service";
 
-std::optional<Entry> entryOf(const net::PlatformObject &object)
+std::optional<Entry> toEntry(const net::PlatformObject &object)
 {
     const auto kind = entryKindOf(object.kind);
     if (!kind) {
@@ -108,10 +108,10 @@
     this->setWatching(isWatcher(settings.id, settings.dataCentre, *this->node.members.active()));
     if (this->watching) {
         this->requestChanges(true);
-    } else if (this->node.catalogue.staleness(this->node.clock.now()) > confirmationMissed) {
+    } else if (this->node.catalogue.staleness(this->node.clock.now()) > confirmationTimeout) {
         this->requestChanges(false);
     } else {
-        this->scheduleAfter(this->watchTimer, roleSpacing, &PlatformSync::watchCatalogue);
+        this->scheduleAfter(this->watchTimer, roleCheckPeriod, &PlatformSync::watchCatalogue);
     }
 }
 
@@ -124,7 +124,7 @@
         known = 0;
     }
     this->platform.listChanges(
-        watchedKinds, known, waiting && known > 0 ? watchWait : milliseconds{0},
+        watchedKinds, known, waiting && known > 0 ? longPollWait : milliseconds{0},
         [self = this->shared_from_this(), known,
          waiting](std::optional<net::PlatformChanges> changes) {
             asio::post(self->strand, [self, known, waiting, changes = std::move(changes)] {
@@ -134,7 +134,7 @@
                     self->markPlatformUnreachable();
                 }
                 const milliseconds spacing = changes ? watchSpacing : retryDelay;
-                self->scheduleAfter(self->watchTimer, waiting ? spacing : unaidedSpacing,
+                self->scheduleAfter(self->watchTimer, waiting ? spacing : fallbackSpacing,
                                     &PlatformSync::watchCatalogue);
             });
         });
@@ -164,7 +164,7 @@
     }
     std::vector<Entry> entries;
     for (const net::PlatformObject &object : changes.objects) {
-        if (auto entry = entryOf(object)) {
+        if (auto entry = toEntry(object)) {
             entries.push_back(std::move(*entry));
         }
     }
@@ -187,7 +187,7 @@
     const Settings &settings = this->node.settings;
     if (!isWatcher(settings.id, settings.dataCentre, *this->node.members.active())) {
         this->vmPolls = {};
-        this->scheduleAfter(this->vmTimer, vmPeriod, &PlatformSync::pollVms);
+        this->scheduleAfter(this->vmTimer, vmPollPeriod, &PlatformSync::pollVms);
         return;
     }
     this->node.metrics.count(Counter::PlatformCalls);
@@ -196,7 +196,7 @@
             if (vms) {
                 self->applyVmList(*vms);
             }
-            self->scheduleAfter(self->vmTimer, vmPeriod, &PlatformSync::pollVms);
+            self->scheduleAfter(self->vmTimer, vmPollPeriod, &PlatformSync::pollVms);
         });
     });
 }
@@ -274,8 +274,9 @@
     if (this->vmPullsInRow == 0) {
         return own.vmListVersion;
     }
-    const bool whole = own.vmListVersion <= stampWindow || this->vmPullsInRow % wholeListEvery == 0;
-    return whole ? 0 : own.vmListVersion - stampWindow;
+    const bool whole =
+        own.vmListVersion <= stampOverlap || this->vmPullsInRow % fullVmListEvery == 0;
+    return whole ? 0 : own.vmListVersion - stampOverlap;
 }
 
 void PlatformSync::applyPulled(const std::string &peer, const PullResult &pulled)
--- a/daemon/requestclaim.cpp
+++ b/daemon/requestclaim.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 /// How far a caller's clock may be ahead of this router's.
-constexpr std::chrono::minutes keySkew{1};
+constexpr std::chrono::minutes maxClockSkew{1};
 
-std::uint64_t latestIssued()
+std::uint64_t maxKeyIssued()
 {
-    const auto latest = std::chrono::system_clock::now() + keySkew;
+    const auto latest = std::chrono::system_clock::now() + maxClockSkew;
     return static_cast<std::uint64_t>(
         std::chrono::duration_cast<Milliseconds>(latest.time_since_epoch()).count());
 }
@@ -25,7 +25,7 @@
     if (!this->request.nonIdempotent) {
         return false;
     }
-    if (this->request.keyIssuedMilliseconds > latestIssued()) {
+    if (this->request.keyIssuedMilliseconds > maxKeyIssued()) {
         this->refuseWith({ErrorKind::BadRequest, "x-key-issued lies in the future", {}});
         return true;
     }
--- a/daemon/requestrelay.cpp
+++ b/daemon/requestrelay.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr int mostAttempts = 3;
-constexpr std::chrono::seconds upstreamSilence{60};
-constexpr std::size_t largestAnswer = 16 << 20;
+constexpr int maxAttempts = 3;
+constexpr std::chrono::seconds upstreamIdleTimeout{60};
+constexpr std::size_t maxAnswerBytes = 16 << 20;
 /// Bytes that may be buffered for a slow caller before the transfer from its upstream is paused.
-constexpr std::size_t mostUnflushed = 256 << 10;
+constexpr std::size_t maxUnflushedBytes = 256 << 10;
 constexpr int statusOk = 200;
 constexpr int statusUnavailable = 503;
 
@@ -72,7 +72,7 @@
         call.headers["idempotency-key"] = this->request.idempotencyKey;
     }
     call.body = this->request.body;
-    call.idleTimeout = upstreamSilence;
+    call.idleTimeout = upstreamIdleTimeout;
     call.freshConnection = this->request.nonIdempotent;
     return call;
 }
@@ -99,7 +99,7 @@
     if (this->request.stream && this->status == statusOk) {
         return this->relayStream(bytes);
     }
-    if (this->body.size() + bytes.size() > largestAnswer) {
+    if (this->body.size() + bytes.size() > maxAnswerBytes) {
         this->responseInvalid = true;
         return true;
     }
@@ -109,25 +109,25 @@
 
 bool RequestHandler::relayStream(std::string_view bytes)
 {
-    if (this->unflushedBytes > mostUnflushed) {
+    if (this->unflushedBytes > maxUnflushedBytes) {
         return false;
     }
     std::vector<std::string> events;
-    bool good = this->parser.feed(bytes, events);
+    bool valid = this->parser.feed(bytes, events);
     std::string chunk;
     for (const std::string &event : events) {
-        good = good && acceptEvent(event, this->attemptId, this->progress);
-        if (!good) {
+        valid = valid && acceptEvent(event, this->attemptId, this->progress);
+        if (!valid) {
             break;
         }
         chunk += "data: " + event + "\n\n";
     }
-    if (!good) {
+    if (!valid) {
         this->responseInvalid = true;
         const std::lock_guard lock(this->exchangeMutex);
         this->exchange->cancel();
     }
-    if (this->claim && this->keptStream.size() + chunk.size() <= largestAnswer) {
+    if (this->claim && this->keptStream.size() + chunk.size() <= maxAnswerBytes) {
         this->keptStream += chunk;
     }
     if (chunk.empty() || this->callerGone) {
@@ -151,7 +151,7 @@
             return;
         }
         const std::size_t before = self->unflushedBytes.fetch_sub(size);
-        if (before > mostUnflushed && before - size <= mostUnflushed) {
+        if (before > maxUnflushedBytes && before - size <= maxUnflushedBytes) {
             const std::lock_guard lock(self->exchangeMutex);
             self->exchange->resume();
         }
@@ -269,7 +269,7 @@
         this->abortResponse({ErrorKind::AnswerCut, reason.detail, std::nullopt});
         return;
     }
-    if (!mayRepeat || this->attemptCount >= mostAttempts) {
+    if (!mayRepeat || this->attemptCount >= maxAttempts) {
         this->refuseWith(reason);
         return;
     }
--- a/daemon/requestresume.cpp
+++ b/daemon/requestresume.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr int mostResumes = 2;
+constexpr int maxResumes = 2;
 
 } // namespace
 
@@ -13,7 +13,7 @@
     const bool early = end == net::HttpOutcome::Broken
                        || (end == net::HttpOutcome::Complete && !this->progress.done);
     return early && this->streamStarted && !this->responseInvalid && !this->callerGone
-           && this->status == 200 && this->resumeCount < mostResumes;
+           && this->status == 200 && this->resumeCount < maxResumes;
 }
 
 void RequestHandler::resumeStream()
--- a/daemon/router.cpp
+++ b/daemon/router.cpp
@@ -16,11 +16,11 @@
 constexpr std::chrono::milliseconds quietPeriod{200};
 /// A load balancer that never notices the stop is waited for at most this multiple of the linger
 /// time.
-constexpr int mostLingers = 5;
+constexpr int maxLingers = 5;
 
 } // namespace
 
-Router::Router(Settings settings, const Clock &clock, PeerDropFilter peerLoss)
+Router::Router(Settings settings, const Clock &clock, PeerDropFilter dropPeerTraffic)
     : node(std::move(settings), clock,
            static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch().count()))
     , signals(context, SIGTERM, SIGINT)
@@ -42,7 +42,7 @@
     , claims(std::make_shared<ClaimService>(context, node, link, peerCalls, claimHttp))
     , suspects(std::make_shared<SuspectBroadcaster>(node, link))
 {
-    this->node.dropPeerTraffic = std::move(peerLoss);
+    this->node.dropPeerTraffic = std::move(dropPeerTraffic);
     std::vector<net::HttpClient *> clients;
     for (std::uint32_t index = 0; index < this->node.settings.workers; ++index) {
         this->upstreamHttp.push_back(std::make_unique<net::HttpClient>(this->context));
@@ -183,7 +183,7 @@
     const TimePoint now = this->node.clock.now();
     const std::chrono::milliseconds linger(this->node.settings.lingerMilliseconds);
     const bool quiet = now - this->callers->lastRequestTime() >= quietPeriod;
-    if (!quiet && now - this->stopStartedAt < mostLingers * linger) {
+    if (!quiet && now - this->stopStartedAt < maxLingers * linger) {
         this->afterDelay(drainPoll, &Router::awaitQuietPeriod);
         return;
     }
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -32,7 +32,7 @@
 {
 public:
     /// \param dropPeerTraffic for tests: tells which traffic to peers is dropped
-    Router(Settings settings, const Clock &clock, PeerDropFilter peerLoss = {});
+    Router(Settings settings, const Clock &clock, PeerDropFilter dropPeerTraffic = {});
     ~Router();
     Router(const Router &) = delete;
     Router &operator=(const Router &) = delete;
--- a/daemon/settings.cpp
+++ b/daemon/settings.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::uint32_t mostWorkers = 64;
-constexpr std::uint32_t highestPort = 65535;
-constexpr std::uint32_t leastLargestBody = 1024;
-constexpr std::uint32_t mostLargestBody = 64 << 20;
-constexpr std::uint32_t mostLingerMilliseconds = 60'000;
+constexpr std::uint32_t maxWorkers = 64;
+constexpr std::uint32_t maxPort = 65535;
+constexpr std::uint32_t minBodyLimit = 1024;
+constexpr std::uint32_t maxBodyLimit = 64 << 20;
+constexpr std::uint32_t maxLingerMilliseconds = 60'000;
 
 void checkAddress(const std::string &host, const std::string &path, std::vector<Fault> &faults)
 {
@@ -31,7 +31,7 @@
     fields.read("address", endpoint.host, true);
     checkAddress(endpoint.host, fields.pathOf("address"), faults);
     std::uint32_t port = 0;
-    fields.read("port", port, 1, highestPort, true);
+    fields.read("port", port, 1, maxPort, true);
     endpoint.port = static_cast<std::uint16_t>(port);
     fields.finish();
     return endpoint;
@@ -45,8 +45,8 @@
     std::uint32_t callPort = 0;
     fields.read("address", host, true);
     checkAddress(host, fields.pathOf("address"), faults);
-    fields.read("datagramPort", datagramPort, 1, highestPort, true);
-    fields.read("callPort", callPort, 1, highestPort, true);
+    fields.read("datagramPort", datagramPort, 1, maxPort, true);
+    fields.read("callPort", callPort, 1, maxPort, true);
     fields.read("seeds", settings.seeds);
     fields.finish();
     settings.peerDatagrams = {host, static_cast<std::uint16_t>(datagramPort)};
@@ -76,13 +76,13 @@
     FieldReader fields(*json, "", faults);
     fields.read("id", settings.id, true);
     fields.read("place", settings.dataCentre, true);
-    fields.read("workers", settings.workers, 1, mostWorkers);
+    fields.read("workers", settings.workers, 1, maxWorkers);
     settings.callers = readEndpoint(fields, "callers", faults);
     settings.operators = readEndpoint(fields, "operators", faults);
     readPeer(fields, settings, faults);
     readPlatform(fields, settings, faults);
-    fields.read("largestBody", settings.maxBodyBytes, leastLargestBody, mostLargestBody);
-    fields.read("lingerMilliseconds", settings.lingerMilliseconds, 0, mostLingerMilliseconds);
+    fields.read("largestBody", settings.maxBodyBytes, minBodyLimit, maxBodyLimit);
+    fields.read("lingerMilliseconds", settings.lingerMilliseconds, 0, maxLingerMilliseconds);
     settings.log = readLogSettings(fields, faults);
     fields.finish();
     if (!faults.empty()) {
--- a/daemon/slotclient.cpp
+++ b/daemon/slotclient.cpp
@@ -11,25 +11,25 @@
 
 constexpr std::chrono::milliseconds releasePeriod{50};
 constexpr std::chrono::milliseconds askTimeout{60};
-constexpr int askSends = 3;
+constexpr int maxAskSends = 3;
 /// Interval at which a queued request is repeated, to recover a lost grant and to show the
 /// coordinator that its router is alive.
-constexpr std::chrono::milliseconds queuedPeriod{250};
+constexpr std::chrono::milliseconds queuedAskPeriod{250};
 /// How long a grant that arrives after its request timed out is still recognised and released.
-constexpr std::chrono::seconds givenUpMemory{60};
+constexpr std::chrono::seconds timedOutAskRetention{60};
 /// Releases per datagram. This many stay well below the datagram limit.
-constexpr std::size_t releasesInDatagram = 200;
+constexpr std::size_t maxReleasesPerDatagram = 200;
 
 /// The coordinator and its first stand-in; asking further ones would delay the caller.
-constexpr std::size_t keepersAsked = 2;
-constexpr std::chrono::milliseconds silencePenalty{1000};
+constexpr std::size_t maxKeepersAsked = 2;
+constexpr std::chrono::milliseconds unresponsivePenalty{1000};
 
 std::string describe(const Shard &shard)
 {
     return shard.service + "@" + shard.dataCentre + "#" + std::to_string(shard.number);
 }
 
-Reason reasonOf(const std::optional<SlotReply> &reply)
+Reason toReason(const std::optional<SlotReply> &reply)
 {
     if (reply && reply->verdict == SlotVerdict::Overflow) {
         return {ErrorKind::Overloaded, "every engine is at its bound", std::nullopt};
@@ -73,61 +73,62 @@
 void SlotClient::acquire(const std::shared_ptr<const SlotRequirements> &need, StepCallback note,
                          AcquireCallback done)
 {
-    auto way = std::make_shared<Acquisition>();
-    way->requirements = need;
-    way->addStep = std::move(note);
-    way->onDone = std::move(done);
-    way->lastRefusal = {ErrorKind::UpstreamUnreachable, "no shard could be asked", std::nullopt};
-    this->tryShard(way);
+    auto acquisition = std::make_shared<Acquisition>();
+    acquisition->requirements = need;
+    acquisition->addStep = std::move(note);
+    acquisition->onDone = std::move(done);
+    acquisition->lastRefusal = {ErrorKind::UpstreamUnreachable, "no shard could be asked",
+                                std::nullopt};
+    this->tryShard(acquisition);
 }
 
-void SlotClient::tryShard(const AcquisitionPointer &way)
+void SlotClient::tryShard(const AcquisitionPointer &acquisition)
 {
-    const auto &shards = way->requirements->plan.shards;
-    if (way->shardIndex >= shards.size()) {
-        this->tryFallback(way);
+    const auto &shards = acquisition->requirements->plan.shards;
+    if (acquisition->shardIndex >= shards.size()) {
+        this->tryFallback(acquisition);
         return;
     }
-    const std::vector<Heartbeat> keepers = this->coordinatorsToAsk(shards[way->shardIndex]);
-    if (way->coordinatorIndex < keepers.size()) {
-        this->askCoordinator(way, keepers[way->coordinatorIndex]);
+    const std::vector<Heartbeat> keepers = this->coordinatorsToAsk(shards[acquisition->shardIndex]);
+    if (acquisition->coordinatorIndex < keepers.size()) {
+        this->askCoordinator(acquisition, keepers[acquisition->coordinatorIndex]);
         return;
     }
-    way->coordinatorIndex = 0;
-    way->shardIndex = way->waiting ? shards.size() : way->shardIndex + 1;
-    this->tryShard(way);
+    acquisition->coordinatorIndex = 0;
+    acquisition->shardIndex = acquisition->waiting ? shards.size() : acquisition->shardIndex + 1;
+    this->tryShard(acquisition);
 }
 
 /// Called when no shard of the plan has granted a slot. Queues the request if the shards are full;
 /// if no coordinator answered, falls back to this router's own count.
-void SlotClient::tryFallback(const AcquisitionPointer &way)
+void SlotClient::tryFallback(const AcquisitionPointer &acquisition)
 {
-    const auto &shards = way->requirements->plan.shards;
-    const bool full = way->lastRefusal.kind == ErrorKind::Overloaded;
-    if (full && !way->waiting && way->requirements->waitMilliseconds != 0) {
-        way->waiting = true;
-        way->shardIndex = 0;
-        this->tryShard(way);
+    const auto &shards = acquisition->requirements->plan.shards;
+    const bool full = acquisition->lastRefusal.kind == ErrorKind::Overloaded;
+    if (full && !acquisition->waiting && acquisition->requirements->waitMilliseconds != 0) {
+        acquisition->waiting = true;
+        acquisition->shardIndex = 0;
+        this->tryShard(acquisition);
         return;
     }
-    if (way->answered || shards.empty()) {
-        way->onDone(std::nullopt, std::move(way->lastRefusal));
+    if (acquisition->answered || shards.empty()) {
+        acquisition->onDone(std::nullopt, std::move(acquisition->lastRefusal));
         return;
     }
     // No coordinator of any permitted shard answers. Granting by this router's own count is a safe
     // last resort: a careful coordinator stays within its share of the bound, on the same permitted
     // shard.
-    way->answered = true;
-    way->shardIndex = 0;
+    acquisition->answered = true;
+    acquisition->shardIndex = 0;
     logEvent(Event::KeeperReplaced, {{"shard", describe(shards.front())}});
-    this->askCoordinator(way, this->node.heartbeat());
+    this->askCoordinator(acquisition, this->node.heartbeat());
 }
 
 std::vector<Heartbeat> SlotClient::coordinatorsToAsk(const Shard &shard)
 {
     std::vector<Heartbeat> keepers = coordinatorsOf(shard, *this->node.members.active());
-    if (keepers.size() > keepersAsked) {
-        keepers.resize(keepersAsked);
+    if (keepers.size() > maxKeepersAsked) {
+        keepers.resize(maxKeepersAsked);
     }
     const TimePoint now = this->node.clock.now();
     const RankedLock lock(this->mutex);
@@ -141,60 +142,61 @@
 void SlotClient::markUnresponsive(const std::string &keeper)
 {
     const RankedLock lock(this->mutex);
-    this->unresponsiveUntil[keeper] = this->node.clock.now() + silencePenalty;
+    this->unresponsiveUntil[keeper] = this->node.clock.now() + unresponsivePenalty;
 }
 
-void SlotClient::askCoordinator(const AcquisitionPointer &way, const Heartbeat &keeper)
+void SlotClient::askCoordinator(const AcquisitionPointer &acquisition, const Heartbeat &keeper)
 {
-    const SlotRequirements &need = *way->requirements;
-    SlotRequest ask{this->nextRequestId++, need.plan.shards[way->shardIndex], need.chatHash,
+    const SlotRequirements &need = *acquisition->requirements;
+    SlotRequest ask{this->nextRequestId++, need.plan.shards[acquisition->shardIndex], need.chatHash,
                     need.fingerprint, need.avoid};
-    if (way->waiting) {
+    if (acquisition->waiting) {
         ask.waitMilliseconds = need.waitMilliseconds;
         ask.workspace = need.workspace;
         ask.weight = need.weight;
         ask.priority = need.priority;
     }
     this->node.metrics.count(Counter::SlotAsks);
-    auto onReply = [self = this->shared_from_this(), way, keeper,
+    auto onReply = [self = this->shared_from_this(), acquisition, keeper,
                     askId = ask.requestId](const std::optional<SlotReply> &reply) {
-        self->handleOutcome(way, keeper, askId, reply);
+        self->handleOutcome(acquisition, keeper, askId, reply);
     };
-    if (keeper.id == this->node.settings.id && !way->waiting) {
+    if (keeper.id == this->node.settings.id && !acquisition->waiting) {
         this->coordinatorService->handleRequest(this->node.identity, ask, onReply);
     } else {
-        this->startRequest(keeper, std::move(ask), way->requirements, std::move(onReply));
+        this->startRequest(keeper, std::move(ask), acquisition->requirements, std::move(onReply));
     }
 }
 
-void SlotClient::handleOutcome(const AcquisitionPointer &way, const Heartbeat &keeper,
+void SlotClient::handleOutcome(const AcquisitionPointer &acquisition, const Heartbeat &keeper,
                                std::uint32_t askId, const std::optional<SlotReply> &reply)
 {
-    const Shard &asked = way->requirements->plan.shards[way->shardIndex];
-    way->addStep("shard " + describe(asked) + " keeper " + keeper.id + ": "
-                 + (reply ? std::string(nameOf(reply->verdict)) : std::string("silent")));
+    const Shard &asked = acquisition->requirements->plan.shards[acquisition->shardIndex];
+    acquisition->addStep("shard " + describe(asked) + " keeper " + keeper.id + ": "
+                         + (reply ? std::string(nameOf(reply->verdict)) : std::string("silent")));
     if (!reply) {
         logEvent(Event::KeeperSilent, {{"keeper", keeper.id}, {"shard", describe(asked)}});
         this->markUnresponsive(keeper.id);
-        ++way->coordinatorIndex;
-        this->tryShard(way);
+        ++acquisition->coordinatorIndex;
+        this->tryShard(acquisition);
         return;
     }
-    way->answered = true;
+    acquisition->answered = true;
     if (reply->verdict == SlotVerdict::Granted
-        && this->acceptGrant(way, keeper, askId, reply->upstream)) {
+        && this->acceptGrant(acquisition, keeper, askId, reply->upstream)) {
         return;
     }
-    way->lastRefusal = reasonOf(reply);
-    way->coordinatorIndex = 0;
-    way->shardIndex = way->waiting ? way->requirements->plan.shards.size() : way->shardIndex + 1;
-    this->tryShard(way);
+    acquisition->lastRefusal = toReason(reply);
+    acquisition->coordinatorIndex = 0;
+    acquisition->shardIndex = acquisition->waiting ? acquisition->requirements->plan.shards.size()
+                                                   : acquisition->shardIndex + 1;
+    this->tryShard(acquisition);
 }
 
-bool SlotClient::acceptGrant(const AcquisitionPointer &way, const Heartbeat &keeper,
+bool SlotClient::acceptGrant(const AcquisitionPointer &acquisition, const Heartbeat &keeper,
                              std::uint32_t askId, UpstreamId upstreamId)
 {
-    const Shard &asked = way->requirements->plan.shards[way->shardIndex];
+    const Shard &asked = acquisition->requirements->plan.shards[acquisition->shardIndex];
     HeldSlot slot{keeper, asked, askId, {}};
     this->heldSlots->add(asked, askId, upstreamId);
     const auto upstream = this->node.upstreams.find(upstreamId);
@@ -207,7 +209,7 @@
         return false;
     }
     slot.upstream = *upstream;
-    way->onDone(std::move(slot), {});
+    acquisition->onDone(std::move(slot), {});
     return true;
 }
 
@@ -234,7 +236,7 @@
         return;
     }
     PendingRequest &entry = found->second;
-    if (++entry.sendCount > askSends || entry.requirements->abandoned) {
+    if (++entry.sendCount > maxAskSends || entry.requirements->abandoned) {
         this->timeOutRequest(askId);
         return;
     }
@@ -247,7 +249,7 @@
     } else {
         this->link->send(entry.coordinator, entry.request);
     }
-    entry.timer->expires_after(entry.queued ? queuedPeriod : askTimeout);
+    entry.timer->expires_after(entry.queued ? queuedAskPeriod : askTimeout);
     entry.timer->async_wait(
         [self = this->shared_from_this(), askId](const asio::error_code &error) {
             if (!error) {
@@ -271,7 +273,7 @@
     entry.sendCount = 0;
     if (!entry.queued) {
         entry.queued = true;
-        entry.timer->expires_after(queuedPeriod);
+        entry.timer->expires_after(queuedAskPeriod);
         entry.timer->async_wait([self = this->shared_from_this(),
                                  askId = reply.requestId](const asio::error_code &error) {
             if (!error) {
@@ -287,8 +289,9 @@
     const ShardId shard = shardIdOf(entry.request.shard);
     const TimePoint now = this->node.clock.now();
     this->node.metrics.count(Counter::SlotAskTimeouts);
-    std::erase_if(this->timedOutRequests,
-                  [now](const auto &item) { return now - item.second.since > givenUpMemory; });
+    std::erase_if(this->timedOutRequests, [now](const auto &item) {
+        return now - item.second.since > timedOutAskRetention;
+    });
     this->timedOutRequests[askId] = {entry.coordinator, shard, now};
     this->sendRelease(entry.coordinator, entry.local, shard, askId);
     this->finishRequest(askId, std::nullopt);
@@ -355,8 +358,8 @@
     const auto batch = std::move(this->pendingReleases);
     this->pendingReleases.clear();
     for (const auto &[target, ids] : batch) {
-        for (std::size_t first = 0; first < ids.size(); first += releasesInDatagram) {
-            const std::size_t last = std::min(ids.size(), first + releasesInDatagram);
+        for (std::size_t first = 0; first < ids.size(); first += maxReleasesPerDatagram) {
+            const std::size_t last = std::min(ids.size(), first + maxReleasesPerDatagram);
             SlotRelease release;
             release.shard = target.second;
             release.requestIds.assign(ids.begin() + static_cast<std::ptrdiff_t>(first),
@@ -383,8 +386,8 @@
     // The shard may have a new coordinator by now, which learnt of the slot from this router's
     // list.
     std::set<Endpoint> keepers{slot.coordinator.datagramEndpoint};
-    if (const auto present = coordinatorOf(slot.shard, *this->node.members.active())) {
-        keepers.insert(present->datagramEndpoint);
+    if (const auto currentKeeper = coordinatorOf(slot.shard, *this->node.members.active())) {
+        keepers.insert(currentKeeper->datagramEndpoint);
     }
     for (const Endpoint &keeper : keepers) {
         this->sendRelease(keeper, keeper == this->node.settings.peerDatagrams, shard,
--- a/daemon/slotclient.h
+++ b/daemon/slotclient.h
@@ -104,13 +104,13 @@
     };
     using AcquisitionPointer = std::shared_ptr<Acquisition>;
 
-    void tryShard(const AcquisitionPointer &way);
-    void tryFallback(const AcquisitionPointer &way);
-    void askCoordinator(const AcquisitionPointer &way, const Heartbeat &keeper);
-    void handleOutcome(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
-                       const std::optional<SlotReply> &reply);
-    bool acceptGrant(const AcquisitionPointer &way, const Heartbeat &keeper, std::uint32_t askId,
-                     UpstreamId upstreamId);
+    void tryShard(const AcquisitionPointer &acquisition);
+    void tryFallback(const AcquisitionPointer &acquisition);
+    void askCoordinator(const AcquisitionPointer &acquisition, const Heartbeat &keeper);
+    void handleOutcome(const AcquisitionPointer &acquisition, const Heartbeat &keeper,
+                       std::uint32_t askId, const std::optional<SlotReply> &reply);
+    bool acceptGrant(const AcquisitionPointer &acquisition, const Heartbeat &keeper,
+                     std::uint32_t askId, UpstreamId upstreamId);
     [[nodiscard]] std::vector<Heartbeat> coordinatorsToAsk(const Shard &shard);
     void markUnresponsive(const std::string &keeper);
     void releaseOnStrand(const HeldSlot &slot);
--- a/daemon/wirecodeclimits.cpp
+++ b/daemon/wirecodeclimits.cpp
@@ -4,17 +4,17 @@
 
 namespace {
 
-constexpr double rateUnits = 256.0;
+constexpr double rateUnitsPerRequest = 256.0;
 
 /// Rounds down, so that a router never holds more than its owner has counted.
 std::uint32_t rateToWire(double rate)
 {
-    return static_cast<std::uint32_t>(rate * rateUnits);
+    return static_cast<std::uint32_t>(rate * rateUnitsPerRequest);
 }
 
 double rateFromWire(std::uint32_t rate)
 {
-    return rate / rateUnits;
+    return rate / rateUnitsPerRequest;
 }
 
 } // namespace
--- a/examples/admission.cpp
+++ b/examples/admission.cpp
@@ -21,9 +21,9 @@
                      {{EntryKind::Service, "model"}, 2, service},
                      {{EntryKind::Workspace, "council"}, 3, workspace}});
     catalogue.merge({{papers, 4, DataClass{"lowther", {"hall-a"}, 0}}});
-    const std::size_t taken =
+    const std::size_t merged =
         catalogue.merge({{papers, 1, DataClass{"lowther", {"hall-a", "hall-b"}, 0}}});
-    std::cout << "entries merged from an outdated list: " << taken << "\n";
+    std::cout << "entries merged from an outdated list: " << merged << "\n";
 
     Reason reason;
     const auto admission = admit(*catalogue.view(), "secret", "model", Duration{0}, reason);
--- a/gateway/bytestream.cpp
+++ b/gateway/bytestream.cpp
@@ -45,9 +45,9 @@
     : socket(std::move(socket))
 {}
 
-void ByteStream::start(Handlers newEvents)
+void ByteStream::start(Handlers newHandlers)
 {
-    this->handlers = std::move(newEvents);
+    this->handlers = std::move(newHandlers);
     this->waitToRead();
 }
 
@@ -195,12 +195,12 @@
     this->close();
 }
 
-void ByteStream::notifyClosed(bool inOrder)
+void ByteStream::notifyClosed(bool orderly)
 {
     const auto onClosed = std::move(this->handlers.onClosed);
     this->close();
     if (onClosed) {
-        onClosed(inOrder);
+        onClosed(orderly);
     }
 }
 
--- a/gateway/bytestream.h
+++ b/gateway/bytestream.h
@@ -28,7 +28,7 @@
     {
         std::function<void(std::string_view)> onBytes;
         /// \a orderly is true if the peer closed the connection without a reset.
-        std::function<void(bool inOrder)> onClosed;
+        std::function<void(bool orderly)> onClosed;
         /// Called when the write queue is empty.
         std::function<void()> onWritten;
     };
@@ -36,9 +36,9 @@
     explicit ByteStream(asio::ip::tcp::socket socket);
 
     /// Sets the handlers and starts to read.
-    void start(Handlers events);
+    void start(Handlers handlers);
     /// Replaces the handlers.
-    void setHandlers(Handlers events) { this->handlers = std::move(events); }
+    void setHandlers(Handlers handlers) { this->handlers = std::move(handlers); }
     /// Queues bytes. Writes of one turn of the event loop are sent together. Ignored once the
     /// stream is closed or closing.
     void write(std::string_view bytes);
@@ -51,10 +51,12 @@
     void reset();
     /// Runs \a work in a later turn of the event loop.
     void defer(std::function<void()> work);
+    /// Stops reading, so that TCP flow control slows down the peer.
     void pauseReading() { this->reading = false; }
     void resumeReading();
 
     [[nodiscard]] bool isOpen() const { return this->socket.is_open(); }
+    /// \returns the number of queued bytes that were not written yet.
     [[nodiscard]] std::size_t queuedBytes() const noexcept
     {
         return this->queued.size() + this->writing.size() - this->written;
@@ -66,7 +68,7 @@
     void scheduleWrite();
     void writeNow();
     void waitToWrite();
-    void notifyClosed(bool inOrder);
+    void notifyClosed(bool orderly);
 
     asio::ip::tcp::socket socket;
     Handlers handlers;
--- a/gateway/callerconnection.cpp
+++ b/gateway/callerconnection.cpp
@@ -8,7 +8,7 @@
 
 /// Bytes of pipelined requests that are buffered while a request runs. With more, reading is
 /// paused, and a disconnect of the caller is not noticed until it is resumed.
-constexpr std::size_t mostAhead = 64 << 10;
+constexpr std::size_t maxPipelinedBytes = 64 << 10;
 
 } // namespace
 
@@ -43,19 +43,19 @@
 {
     const std::weak_ptr<CallerConnection> weak = this->weak_from_this();
     this->stream->start({[weak](std::string_view bytes) {
-                             if (const auto held = weak.lock()) {
-                                 held->onBytes(bytes);
+                             if (const auto self = weak.lock()) {
+                                 self->onBytes(bytes);
                              }
                          },
                          [weak](bool) {
-                             if (const auto held = weak.lock()) {
-                                 held->onStreamClosed();
+                             if (const auto self = weak.lock()) {
+                                 self->onStreamClosed();
                              }
                          },
                          [weak] {
-                             const auto held = weak.lock();
-                             if (held && held->busy && held->handlers.onWritten) {
-                                 held->handlers.onWritten(*held);
+                             const auto self = weak.lock();
+                             if (self && self->busy && self->handlers.onWritten) {
+                                 self->handlers.onWritten(*self);
                              }
                          }});
 }
@@ -65,7 +65,7 @@
     const auto self = this->shared_from_this();
     if (this->busy) {
         this->pipelined.append(bytes);
-        if (this->pipelined.size() > mostAhead) {
+        if (this->pipelined.size() > maxPipelinedBytes) {
             this->stream->pauseReading();
         }
         return;
@@ -81,7 +81,7 @@
     this->handleParseState(this->parser.feed(bytes));
 }
 
-void CallerConnection::handleParseState(ParseState reached)
+void CallerConnection::handleParseState(ParseState parseState)
 {
     if (this->tooLarge) {
         this->keepAlive = false;
@@ -89,7 +89,7 @@
         this->respond(413, {}, {}, true);
         return;
     }
-    switch (reached) {
+    switch (parseState) {
     case ParseState::Incomplete:
         return;
     case ParseState::HeadTooLarge:
@@ -131,18 +131,19 @@
 }
 
 void CallerConnection::respond(int status, const std::vector<HeaderField> &fields,
-                               std::string_view body, bool closes)
+                               std::string_view body, bool closeAfter)
 {
-    this->keepAlive = this->keepAlive && !closes;
+    this->keepAlive = this->keepAlive && !closeAfter;
     this->writeHead(status, fields);
     this->stream->write(fmt::format("Content-Length: {}\r\n\r\n", body.size()));
     this->stream->write(body);
     this->finishResponse();
 }
 
-void CallerConnection::startChunked(int status, const std::vector<HeaderField> &fields, bool closes)
+void CallerConnection::startChunked(int status, const std::vector<HeaderField> &fields,
+                                    bool closeAfter)
 {
-    this->keepAlive = this->keepAlive && !closes;
+    this->keepAlive = this->keepAlive && !closeAfter;
     this->writeHead(status, fields);
     this->stream->write("Transfer-Encoding: chunked\r\n\r\n");
 }
@@ -192,13 +193,13 @@
     this->incoming.receivedAt = this->clock.now();
     const std::string bytes = std::move(this->pipelined);
     this->pipelined.clear();
-    ParseState reached = this->parser.beginNext();
-    if (reached == ParseState::Incomplete && !bytes.empty()) {
-        reached = this->parser.feed(bytes);
+    ParseState parseState = this->parser.beginNext();
+    if (parseState == ParseState::Incomplete && !bytes.empty()) {
+        parseState = this->parser.feed(bytes);
     } else {
         this->pipelined = bytes;
     }
-    this->handleParseState(reached);
+    this->handleParseState(parseState);
 }
 
 void CallerConnection::abort()
--- a/gateway/callerconnection.h
+++ b/gateway/callerconnection.h
@@ -44,15 +44,18 @@
     CallerConnection(std::uint64_t id, std::shared_ptr<ByteStream> stream, CallerLimits limits,
                      const CallerHandlers &owner, const Clock &clock);
 
+    /// Starts to read requests.
     void start();
     /// Sends a complete response.
     /// \param closeAfter closes the connection after the response
     void respond(int status, const std::vector<HeaderField> &fields, std::string_view body,
-                 bool closes);
+                 bool closeAfter);
     /// Sends the head of a chunked response.
     /// \param closeAfter closes the connection after the response
-    void startChunked(int status, const std::vector<HeaderField> &fields, bool closes);
+    void startChunked(int status, const std::vector<HeaderField> &fields, bool closeAfter);
+    /// Sends one chunk; nothing if \a bytes is empty.
     void writeChunk(std::string_view bytes);
+    /// Ends a chunked response.
     void finishChunked();
     /// Aborts the response with a reset, so that the caller can tell that it is incomplete.
     void abort();
@@ -65,12 +68,14 @@
     void enforceLimits(const CallerLimits &limits, TimePoint now);
 
     [[nodiscard]] std::uint64_t id() const noexcept { return this->connectionId; }
+    /// \returns whether a request is running.
     [[nodiscard]] bool isBusy() const noexcept { return this->busy; }
+    /// \returns the number of response bytes that were not written yet.
     [[nodiscard]] std::size_t queuedBytes() const { return this->stream->queuedBytes(); }
 
 private:
     void onBytes(std::string_view bytes);
-    void handleParseState(ParseState reached);
+    void handleParseState(ParseState parseState);
     void processPipelined();
     void onStreamClosed();
     void writeHead(int status, const std::vector<HeaderField> &fields);
--- a/gateway/datacentremonitor.cpp
+++ b/gateway/datacentremonitor.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr Milliseconds updatePause{100};
+constexpr Milliseconds updateInterval{100};
 /// How long upstreams stay marked as cut off. Longer than the time between two updates on a busy
 /// VM, so that the mark does not lapse in between.
-constexpr Milliseconds markSpan{600};
-constexpr Milliseconds probePause{500};
+constexpr Milliseconds cutOffMarkTime{600};
+constexpr Milliseconds probeInterval{500};
 
 } // namespace
 
 void DataCentreMonitor::update(TimePoint now)
 {
-    if (now - this->lastUpdateAt < updatePause) {
+    if (now - this->lastUpdateAt < updateInterval) {
         return;
     }
     this->lastUpdateAt = now;
@@ -37,9 +37,10 @@
     const std::vector<UpstreamState *> upstreams = this->gateway.upstreams.inDataCentre(dataCentre);
     const DataCentreEvidence evidence =
         evidenceOf(link.contact, upstreams, link.lastConnectedAt, this->fleet.routers(), now);
-    const DataCentreReachability before = std::exchange(link.reach, reachabilityOf(evidence, now));
+    const DataCentreReachability previousReach =
+        std::exchange(link.reach, reachabilityOf(evidence, now));
     const bool isCutOff = link.reach == DataCentreReachability::Unreachable;
-    if (isCutOff != (before == DataCentreReachability::Unreachable)) {
+    if (isCutOff != (previousReach == DataCentreReachability::Unreachable)) {
         const auto age = std::chrono::duration_cast<Milliseconds>(now - evidence.lastReceived);
         const auto gap = std::chrono::duration_cast<Milliseconds>(evidence.updateInterval);
         logEvent(Event::DataCentreReached,
@@ -54,7 +55,7 @@
     }
     if (isCutOff) {
         for (UpstreamState *const upstream : upstreams) {
-            recordDataCentreUnreachable(upstream->health, now + markSpan);
+            recordDataCentreUnreachable(upstream->health, now + cutOffMarkTime);
         }
     }
     this->probe(dataCentre, link, upstreams, now);
@@ -63,7 +64,7 @@
 void DataCentreMonitor::probe(const std::string &dataCentre, Link &link,
                               std::span<UpstreamState *const> upstreams, TimePoint now)
 {
-    if (now - link.lastProbedAt < probePause || upstreams.empty()) {
+    if (now - link.lastProbedAt < probeInterval || upstreams.empty()) {
         return;
     }
     link.lastProbedAt = now;
@@ -73,12 +74,13 @@
         std::make_shared<UpstreamConnection>(this->gateway.context, this->gateway.clock);
     connection->connect(upstream->replica.endpoint, upstreamConnectTimeout,
                         [this, dataCentre, upstream, connection](bool isConnected) {
-                            const TimePoint then = this->gateway.clock.now();
+                            const TimePoint completedAt = this->gateway.clock.now();
                             if (isConnected) {
-                                this->links[dataCentre].lastConnectedAt = then;
+                                this->links[dataCentre].lastConnectedAt = completedAt;
                                 this->gateway.upstreams.release(*upstream, connection);
                             } else {
-                                recordDataCentreUnreachable(upstream->health, then + markSpan);
+                                recordDataCentreUnreachable(upstream->health,
+                                                            completedAt + cutOffMarkTime);
                             }
                         });
 }
--- a/gateway/dialect.h
+++ b/gateway/dialect.h
@@ -139,6 +139,7 @@
     /// \returns the head of \a request to send to the upstream.
     [[nodiscard]] virtual std::string serializeRequest(const CallerRequest &request,
                                                        const DispatchContext &handover) const = 0;
+    /// Decodes the head of an upstream's response.
     [[nodiscard]] virtual UpstreamResponse parseResponse(const MessageHead &head) const = 0;
     /// \returns the header fields of a refusal that the router itself sends.
     [[nodiscard]] virtual std::vector<HeaderField>
@@ -152,11 +153,14 @@
     /// \returns path and query of a call that waits for changes after \a revision.
     [[nodiscard]] virtual std::string watchTarget(StoreObjectKind kind, std::uint64_t revision,
                                                   Milliseconds wait) const = 0;
+    /// Decodes the store's response to a list. \returns nothing if it is malformed.
     [[nodiscard]] virtual std::optional<StoreResponse> parseList(std::string_view body) const = 0;
     [[nodiscard]] virtual std::optional<StoreResponse>
     parseChanges(std::string_view body) const = 0;
+    /// Decodes the routing configuration. \returns nothing if it is malformed, with \a fault set.
     [[nodiscard]] virtual std::optional<RoutingConfig> parseRouting(const std::string &document,
                                                                     std::string &fault) const = 0;
+    /// Decodes an upstream's entry. \returns nothing if it is malformed, with \a fault set.
     [[nodiscard]] virtual std::optional<Replica> parseReplica(const StoreObject &item,
                                                               std::string &fault) const = 0;
     [[nodiscard]] virtual std::optional<RouterEntry>
--- a/gateway/fleetcoordination.cpp
+++ b/gateway/fleetcoordination.cpp
@@ -9,80 +9,82 @@
 /// How long a coordinator may take to respond: a few round trips between data centres and one turn
 /// of its event loop. After that the router decides by its own knowledge, which is better than
 /// waiting longer.
-constexpr Milliseconds keeperLimit{25};
+constexpr Milliseconds coordinatorTimeout{25};
 
 } // namespace
 
-std::optional<Endpoint> FleetGossip::coordinatorOf(std::uint64_t life) const
+std::optional<Endpoint> FleetGossip::coordinatorOf(std::uint64_t incarnation) const
 {
-    const UpstreamState *const engine = this->gateway.upstreams.findIncarnation(life);
+    const UpstreamState *const engine = this->gateway.upstreams.findIncarnation(incarnation);
     const std::string place = engine == nullptr ? std::string() : engine->replica.dataCentre;
-    return this->contacts.coordinatorOf(life, place, this->gateway.stopping,
+    return this->contacts.coordinatorOf(incarnation, place, this->gateway.stopping,
                                         this->gateway.clock.now());
 }
 
-void FleetGossip::requestGrant(EngineGrantRequest question,
+void FleetGossip::requestGrant(EngineGrantRequest grantRequest,
                                std::function<void(std::optional<EngineGrantReply>)> done)
 {
-    const std::optional<Endpoint> address = this->coordinatorOf(question.incarnation);
+    const std::optional<Endpoint> address = this->coordinatorOf(grantRequest.incarnation);
     if (!address) {
-        question.router = toText(this->gateway.settings.peerDatagrams);
-        const std::uint32_t running = this->gateway.peerLoads.totalAt(question.incarnation).running;
+        grantRequest.router = toText(this->gateway.settings.peerDatagrams);
+        const std::uint32_t running =
+            this->gateway.peerLoads.totalAt(grantRequest.incarnation).running;
         const EngineGrantReply answer =
-            this->coordinator.requestGrant(question, running, this->gateway.clock.now());
+            this->coordinator.requestGrant(grantRequest, running, this->gateway.clock.now());
         if (answer.granted) {
-            this->grantors[question.requestId] = this->gateway.settings.peerDatagrams;
+            this->grantors[grantRequest.requestId] = this->gateway.settings.peerDatagrams;
         }
         done(answer);
         return;
     }
     wire::GatewayDatagram datagram;
     wire::EngineAsk &ask = *datagram.mutable_ask();
-    ask.set_number(question.requestId);
-    ask.set_life(question.incarnation);
-    ask.set_tokens(question.promptTokens);
-    ask.set_bound(static_cast<float>(question.loadBound));
-    for (const std::uint64_t part : question.prefixHashes) {
+    ask.set_number(grantRequest.requestId);
+    ask.set_life(grantRequest.incarnation);
+    ask.set_tokens(grantRequest.promptTokens);
+    ask.set_bound(static_cast<float>(grantRequest.loadBound));
+    for (const std::uint64_t part : grantRequest.prefixHashes) {
         ask.add_chain(part);
     }
-    PendingAsk pending{std::move(done),
-                       std::make_unique<asio::steady_timer>(this->gateway.context, keeperLimit)};
-    pending.timer->async_wait([this, number = question.requestId](const asio::error_code &error) {
-        const auto found = this->pendingGrantRequests.find(number);
-        if (error || found == this->pendingGrantRequests.end()) {
-            return;
-        }
-        const auto waiting = std::move(found->second.done);
-        this->pendingGrantRequests.erase(found);
-        this->gateway.metrics.count(Counter::SlotAskTimeouts);
-        waiting(std::nullopt);
-    });
-    this->pendingGrantRequests.emplace(question.requestId, std::move(pending));
-    this->grantors[question.requestId] = *address;
+    PendingAsk pending{std::move(done), std::make_unique<asio::steady_timer>(this->gateway.context,
+                                                                             coordinatorTimeout)};
+    pending.timer->async_wait(
+        [this, requestId = grantRequest.requestId](const asio::error_code &error) {
+            const auto found = this->pendingGrantRequests.find(requestId);
+            if (error || found == this->pendingGrantRequests.end()) {
+                return;
+            }
+            const auto callback = std::move(found->second.done);
+            this->pendingGrantRequests.erase(found);
+            this->gateway.metrics.count(Counter::SlotAskTimeouts);
+            callback(std::nullopt);
+        });
+    this->pendingGrantRequests.emplace(grantRequest.requestId, std::move(pending));
+    this->grantors[grantRequest.requestId] = *address;
     this->gateway.metrics.count(Counter::SlotAsks);
     this->sendTo(*address, datagram);
 }
 
 void FleetGossip::onAsk(const wire::EngineAsk &message, const Endpoint &from)
 {
-    EngineGrantRequest question;
-    question.router = toText(from);
-    question.requestId = message.number();
-    question.incarnation = message.life();
-    question.promptTokens = message.tokens();
-    question.loadBound = message.bound();
-    question.prefixHashes.assign(message.chain().begin(), message.chain().end());
+    EngineGrantRequest grantRequest;
+    grantRequest.router = toText(from);
+    grantRequest.requestId = message.number();
+    grantRequest.incarnation = message.life();
+    grantRequest.promptTokens = message.tokens();
+    grantRequest.loadBound = message.bound();
+    grantRequest.prefixHashes.assign(message.chain().begin(), message.chain().end());
     const UpstreamState *const engine =
-        this->gateway.upstreams.findIncarnation(question.incarnation);
-    const std::uint32_t own = engine == nullptr ? 0 : engine->ownRunning;
+        this->gateway.upstreams.findIncarnation(grantRequest.incarnation);
+    const std::uint32_t ownRunning = engine == nullptr ? 0 : engine->ownRunning;
     const std::uint32_t running =
-        own + this->gateway.peerLoads.totalAt(question.incarnation).running;
+        ownRunning + this->gateway.peerLoads.totalAt(grantRequest.incarnation).running;
     const EngineGrantReply answer =
-        this->coordinator.requestGrant(question, running, this->gateway.clock.now());
+        this->coordinator.requestGrant(grantRequest, running, this->gateway.clock.now());
     wire::GatewayDatagram datagram;
     wire::EngineReply &reply = *datagram.mutable_reply();
-    reply.set_number(question.requestId);
-    reply.set_life(question.incarnation);
+    reply.set_number(grantRequest.requestId);
+    reply.set_life(grantRequest.incarnation);
     reply.set_granted(answer.granted);
     reply.set_running(answer.running);
     reply.set_unread_tokens(static_cast<std::uint32_t>(answer.pendingPrefillTokens));
@@ -98,30 +100,30 @@
         this->releaseGrant(message.life(), message.number());
         return;
     }
-    const auto waiting = std::move(found->second.done);
+    const auto callback = std::move(found->second.done);
     this->pendingGrantRequests.erase(found);
     if (!message.granted()) {
         this->grantors.erase(message.number());
     }
-    waiting(EngineGrantReply{message.granted(), message.running(),
-                             static_cast<double>(message.unread_tokens()), message.known_parts()});
+    callback(EngineGrantReply{message.granted(), message.running(),
+                              static_cast<double>(message.unread_tokens()), message.known_parts()});
 }
 
-void FleetGossip::releaseGrant(std::uint64_t life, std::uint64_t number)
+void FleetGossip::releaseGrant(std::uint64_t incarnation, std::uint64_t requestId)
 {
-    const auto found = this->grantors.find(number);
+    const auto found = this->grantors.find(requestId);
     if (found == this->grantors.end()) {
         return;
     }
     const Endpoint address = found->second;
     this->grantors.erase(found);
     if (address == this->gateway.settings.peerDatagrams) {
-        this->coordinator.releaseGrant(toText(address), number, life);
+        this->coordinator.releaseGrant(toText(address), requestId, incarnation);
         return;
     }
     wire::GatewayDatagram datagram;
-    datagram.mutable_end()->set_number(number);
-    datagram.mutable_end()->set_life(life);
+    datagram.mutable_end()->set_number(requestId);
+    datagram.mutable_end()->set_life(incarnation);
     this->sendTo(address, datagram);
 }
 
@@ -136,12 +138,12 @@
 {
     const std::string router =
         toText(Endpoint{this->sender.address().to_string(), this->sender.port()});
-    for (const std::uint64_t life : this->coordinator.incarnationsGrantedTo(router)) {
+    for (const std::uint64_t incarnation : this->coordinator.incarnationsGrantedTo(router)) {
         std::uint32_t running = 0;
         for (const PeerLoad &load : update.loads) {
-            running += load.incarnation == life ? load.running : 0;
+            running += load.incarnation == incarnation ? load.running : 0;
         }
-        this->coordinator.reconcile(router, life, running, this->gateway.clock.now());
+        this->coordinator.reconcile(router, incarnation, running, this->gateway.clock.now());
     }
 }
 
--- a/gateway/fleetgossip.cpp
+++ b/gateway/fleetgossip.cpp
@@ -16,15 +16,15 @@
 /// Ethernet frame at usual load.
 constexpr std::size_t maxPrefixes = 32;
 /// Every eighth update carries addresses of other routers, for receivers that lack some.
-constexpr std::uint64_t othersEvery = 8;
+constexpr std::uint64_t addressUpdatePeriod = 8;
 /// Number of addresses in one update, about one Ethernet frame. Each update continues after the
 /// last one sent.
-constexpr std::size_t maxOthers = 48;
+constexpr std::size_t maxAddresses = 48;
 /// Every seventh update carries performance reports. Coprime to addressUpdatePeriod, so that few
 /// updates carry both.
-constexpr std::uint64_t figuresEvery = 7;
+constexpr std::uint64_t performanceUpdatePeriod = 7;
 /// Number of prefix locations that one of the routers sends to a joining router; about 20 kB.
-constexpr std::size_t maxSnapshot = 1024;
+constexpr std::size_t maxSnapshotPrefixes = 1024;
 /// Number of services whose performance is reported in one update.
 constexpr int maxReportedServices = 16;
 
@@ -110,12 +110,12 @@
 
 std::optional<Endpoint> FleetGossip::newerRouter() const
 {
-    const auto best = this->contacts.routerWithNewerState(
+    const auto newer = this->contacts.routerWithNewerState(
         this->configVersion(), this->latestRevision(), this->sequence, this->gateway.clock.now());
-    if (!best) {
+    if (!newer) {
         return std::nullopt;
     }
-    return Endpoint{best->host, this->gateway.settings.peerCalls.port};
+    return Endpoint{newer->host, this->gateway.settings.peerCalls.port};
 }
 
 std::uint64_t FleetGossip::configVersion() const
@@ -191,8 +191,8 @@
 {
     wire::GatewayDatagram datagram;
     const Endpoint from{this->sender.address().to_string(), this->sender.port()};
-    const bool isRead = datagram.ParseFromArray(this->buffer.data(), static_cast<int>(size));
-    switch (isRead ? datagram.body_case() : wire::GatewayDatagram::BODY_NOT_SET) {
+    const bool isParsed = datagram.ParseFromArray(this->buffer.data(), static_cast<int>(size));
+    switch (isParsed ? datagram.body_case() : wire::GatewayDatagram::BODY_NOT_SET) {
     case wire::GatewayDatagram::kNews:
         this->onUpdateMessage(datagram.news(), from);
         break;
@@ -345,7 +345,7 @@
 {
     std::vector<PrefixReport> prefixes;
     for (const PrefixUse &use :
-         this->gateway.upstreams.prefixIndex.recentSharedUses(maxSnapshot, now)) {
+         this->gateway.upstreams.prefixIndex.recentSharedUses(maxSnapshotPrefixes, now)) {
         prefixes.push_back({use.prefix, use.incarnation,
                             std::chrono::duration_cast<Milliseconds>(now - use.usedAt)});
     }
@@ -353,7 +353,7 @@
 }
 
 void FleetGossip::sendInitialState(const Endpoint &joining, const std::string &id,
-                                   std::size_t knownThere)
+                                   std::size_t knownByReceiver)
 {
     const TimePoint now = this->gateway.clock.now();
     RouterUpdate update = this->updateSince({});
@@ -365,7 +365,7 @@
     wire::GatewayDatagram datagram = this->encode(update);
     // A router that knows most of the fleet needs no addresses: when all routers start at once,
     // each gets updates from every other one.
-    if (knownThere < this->contacts.aliveCount(now) / 2) {
+    if (knownByReceiver < this->contacts.aliveCount(now) / 2) {
         this->appendRouterAddresses(*datagram.mutable_news());
     }
     this->appendPerformanceReports(*datagram.mutable_news());
@@ -427,11 +427,11 @@
         entry->set_avoided_ms(static_cast<std::uint32_t>(load.ejectedFor.count()));
         entry->set_silent(load.timedOut);
     }
-    for (const PrefixReport &chain : update.prefixes) {
+    for (const PrefixReport &prefix : update.prefixes) {
         wire::ChainRead *const entry = message.add_chains();
-        entry->set_chain(chain.prefix);
-        entry->set_life(chain.incarnation);
-        entry->set_age_ms(static_cast<std::uint32_t>(chain.age.count()));
+        entry->set_chain(prefix.prefix);
+        entry->set_life(prefix.incarnation);
+        entry->set_age_ms(static_cast<std::uint32_t>(prefix.age.count()));
     }
     for (const CrashReport &report : update.crashUpdate.crashes) {
         wire::CrashSeen *const entry = message.add_crashes();
@@ -451,7 +451,7 @@
 void FleetGossip::appendRouterAddresses(wire::RouterNews &message) const
 {
     const TimePoint now = this->gateway.clock.now();
-    for (const Endpoint &address : this->contacts.aliveSubset(maxOthers, this->sequence, now)) {
+    for (const Endpoint &address : this->contacts.aliveSubset(maxAddresses, this->sequence, now)) {
         wire::Endpoint *const entry = message.add_others();
         entry->set_host(address.host);
         entry->set_port(address.port);
@@ -464,21 +464,21 @@
     const std::size_t alive = this->contacts.aliveCount(now);
     for (const UpdateGroup &group : this->contacts.takeDueGroups(scope, now)) {
         wire::GatewayDatagram datagram = this->encode(this->updateSince(group.lastSent));
-        if (this->sequence % figuresEvery == 1) {
+        if (this->sequence % performanceUpdatePeriod == 1) {
             this->appendPerformanceReports(*datagram.mutable_news());
         }
-        const bool sharesOthers = this->sequence % othersEvery == 1;
-        std::optional<wire::GatewayDatagram> withOthers;
+        const bool includesAddresses = this->sequence % addressUpdatePeriod == 1;
+        std::optional<wire::GatewayDatagram> datagramWithAddresses;
         for (const Endpoint &address : group.routers) {
-            if (!sharesOthers || !this->contacts.lacksAddresses(address, alive)) {
+            if (!includesAddresses || !this->contacts.lacksAddresses(address, alive)) {
                 this->sendTo(address, datagram);
                 continue;
             }
-            if (!withOthers) {
-                withOthers = datagram;
-                this->appendRouterAddresses(*withOthers->mutable_news());
+            if (!datagramWithAddresses) {
+                datagramWithAddresses = datagram;
+                this->appendRouterAddresses(*datagramWithAddresses->mutable_news());
             }
-            this->sendTo(address, *withOthers);
+            this->sendTo(address, *datagramWithAddresses);
         }
     }
     this->gateway.updateLog.removeBefore(now - this->contacts.maxInterval() - gossipInterval);
@@ -492,10 +492,10 @@
     const TimePoint now = this->gateway.clock.now();
     this->contacts.removeUnresponsive(now);
     this->coordinator.removeIdleEngines(now);
-    for (const std::string &gone : this->contacts.removeFailed(now)) {
-        this->gateway.peerLoads.removeRouter(gone);
-        logEvent(Event::MemberGone, {{"member", gone}});
-        this->dropGrants(gone);
+    for (const std::string &failedRouter : this->contacts.removeFailed(now)) {
+        this->gateway.peerLoads.removeRouter(failedRouter);
+        logEvent(Event::MemberGone, {{"member", failedRouter}});
+        this->dropGrants(failedRouter);
         this->gateway.peerLoadsChanged = true;
     }
     this->broadcast(std::exchange(this->nextBroadcastScope, BroadcastScope::Due));
--- a/gateway/fleetgossip.h
+++ b/gateway/fleetgossip.h
@@ -26,14 +26,17 @@
     /// \param onUpdate called after each update that was applied
     FleetGossip(GatewayState &gateway, std::uint64_t incarnation, std::function<void()> onUpdate);
 
+    /// Opens the UDP socket, adds the seeds and starts to send updates. Throws if the address is
+    /// not available.
     void start();
+    /// Sends a last update that announces the stop to all routers, and closes the socket.
     void stop();
     /// Asks the coordinator of the engine in \a grantRequest for a grant. \a done is called once:
     /// with the reply, or with nothing after a timeout of a few round trips.
-    void requestGrant(EngineGrantRequest question,
+    void requestGrant(EngineGrantRequest grantRequest,
                       std::function<void(std::optional<EngineGrantReply>)> done);
     /// Reports to the coordinator that a granted request has ended.
-    void releaseGrant(std::uint64_t life, std::uint64_t number);
+    void releaseGrant(std::uint64_t incarnation, std::uint64_t requestId);
     /// \returns an id for the next request to a coordinator.
     [[nodiscard]] std::uint64_t nextRequestId() noexcept { return ++this->lastRequestId; }
     /// \returns the address at which this router receives updates. Valid after start().
@@ -86,13 +89,14 @@
     /// Replies to the first update of a router that has just started. Addresses of other routers
     /// are left out if it already knows most of them.
     /// \param knownByReceiver number of routers that it knows
-    void sendInitialState(const Endpoint &joining, const std::string &id, std::size_t knownThere);
+    void sendInitialState(const Endpoint &joining, const std::string &id,
+                          std::size_t knownByReceiver);
     /// \returns which engines cache which shared prefixes, as far as this router knows.
     [[nodiscard]] std::vector<PrefixReport> prefixSnapshot(TimePoint now) const;
     void appendRouterAddresses(wire::RouterNews &message) const;
     void sendTo(const Endpoint &address, const wire::GatewayDatagram &datagram);
     /// \returns the address of the engine's coordinator; nothing if it is this router.
-    [[nodiscard]] std::optional<Endpoint> coordinatorOf(std::uint64_t life) const;
+    [[nodiscard]] std::optional<Endpoint> coordinatorOf(std::uint64_t incarnation) const;
     void tick();
     void broadcast(BroadcastScope scope);
     /// \returns an update for a router that was last sent one at \a since.
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -17,17 +17,17 @@
 namespace {
 
 /// Interval of the checks of limits, idle connections, readiness and the progress of a stop.
-constexpr Milliseconds tickPause{250};
+constexpr Milliseconds tickInterval{250};
 /// How long after the begin of a stop callers are still accepted. The load balancer checks
 /// readiness every second and removes a router after two failed checks.
-constexpr Milliseconds stopLinger{2600};
+constexpr Milliseconds stopAcceptTime{2600};
 /// Time before the forced end of a stop at which running requests are aborted, so that callers
 /// still get notice of it.
-constexpr Milliseconds stopReserve{400};
+constexpr Milliseconds stopAbortReserve{400};
 /// Interval at which the settings file is checked, since it may change without a signal.
-constexpr Milliseconds settingsPause{2000};
-constexpr int listenQueue = 1024;
-constexpr std::size_t pageHeadBytes = 8192;
+constexpr Milliseconds settingsCheckInterval{2000};
+constexpr int listenBacklog = 1024;
+constexpr std::size_t maxInternalHeadBytes = 8192;
 
 } // namespace
 
@@ -38,9 +38,9 @@
     }
     this->peerLoadsChanged = false;
     for (const auto &[id, upstream] : this->upstreams.all()) {
-        const PeerLoads::Total sum = this->peerLoads.totalAt(incarnationOf(upstream->replica));
-        upstream->peersRunning = sum.running;
-        upstream->peersPendingPrefill = sum.pendingPrefillTokens;
+        const PeerLoads::Total load = this->peerLoads.totalAt(incarnationOf(upstream->replica));
+        upstream->peersRunning = load.running;
+        upstream->peersPendingPrefill = load.pendingPrefillTokens;
     }
 }
 
@@ -198,7 +198,7 @@
     acceptor.open(local.protocol());
     acceptor.set_option(asio::socket_base::reuse_address(true));
     acceptor.bind(local);
-    acceptor.listen(listenQueue);
+    acceptor.listen(listenBacklog);
 }
 
 void Gateway::openListeners()
@@ -275,18 +275,18 @@
     });
 }
 
-void Gateway::reloadSettings(bool wasAsked)
+void Gateway::reloadSettings(bool isRequested)
 {
     const auto text = this->settingsSource ? this->settingsSource() : std::nullopt;
     this->settingsReadAt = this->state.clock.now();
     const bool isSame = text && *text == this->settingsText;
-    if (isSame && !wasAsked) {
+    if (isSame && !isRequested) {
         return;
     }
     std::vector<Fault> faults;
-    const auto fresh = text ? parseGatewaySettings(*text, faults) : std::nullopt;
-    if (!fresh) {
-        if (wasAsked || text) {
+    const auto parsed = text ? parseGatewaySettings(*text, faults) : std::nullopt;
+    if (!parsed) {
+        if (isRequested || text) {
             logEvent(Event::SettingsReloaded,
                      {{"outcome", "refused"},
                       {"why", faults.empty() ? "unreadable" : toText(faults.front())}});
@@ -295,16 +295,16 @@
         return;
     }
     this->settingsText = *text;
-    GatewaySettings &own = this->state.settings;
+    GatewaySettings &current = this->state.settings;
     std::string changed;
-    if (fresh->store != own.store) {
+    if (parsed->store != current.store) {
         changed += "store ";
     }
-    if (fresh->stopGrace != own.stopGrace) {
+    if (parsed->stopGrace != current.stopGrace) {
         changed += "graceSeconds ";
     }
-    own.store = fresh->store;
-    own.stopGrace = fresh->stopGrace;
+    current.store = parsed->store;
+    current.stopGrace = parsed->stopGrace;
     logEvent(Event::SettingsReloaded, {{"outcome", isSame ? "unchanged" : "taken"},
                                        {"changed", changed.empty() ? "nothing" : changed}});
 }
@@ -341,7 +341,7 @@
             if (!error) {
                 prepareSocket(socket);
                 CallerLimits limits;
-                limits.maxHeaderBytes = pageHeadBytes;
+                limits.maxHeaderBytes = maxInternalHeadBytes;
                 limits.maxBodyBytes = 0;
                 const auto caller = std::make_shared<CallerConnection>(
                     this->nextCallerId++, std::make_shared<ByteStream>(std::move(socket)), limits,
@@ -369,16 +369,16 @@
             this->state.metrics.render(this->state.clock.now()) + renderGauges(this->state), false);
         return;
     }
-    if (const auto question = parseStoreViewQuery(incoming.head.target)) {
+    if (const auto query = parseStoreViewQuery(incoming.head.target)) {
         const std::uint64_t version =
             this->state.routingTable ? this->state.routingTable->config().version : 0;
-        const std::string view = serializeStoreView(this->state.storeView, version, *question);
+        const std::string view = serializeStoreView(this->state.storeView, version, *query);
         const std::weak_ptr<CallerConnection> weak = caller;
-        const auto hasLeft = [weak] {
-            const auto taker = weak.lock();
-            return !taker || taker->queuedBytes() == 0;
+        const auto isTransferDone = [weak] {
+            const auto receiver = weak.lock();
+            return !receiver || receiver->queuedBytes() == 0;
         };
-        if (!this->storeViewLimiter.tryBegin(view.size(), hasLeft)) {
+        if (!this->storeViewLimiter.tryBegin(view.size(), isTransferDone)) {
             caller->respond(unavailable, {}, {}, false);
             return;
         }
@@ -415,8 +415,9 @@
 
 void Gateway::detectPause(TimePoint now)
 {
-    const auto pause = this->pauseDetector.tick(now, this->state.clock.uptime(), now + tickPause);
-    if (pause && pause->frozen > tickPause) {
+    const auto pause =
+        this->pauseDetector.tick(now, this->state.clock.uptime(), now + tickInterval);
+    if (pause && pause->frozen > tickInterval) {
         // The monotonic clock did not advance during the freeze, so that confirmations are older
         // than they seem.
         this->routingFollower.relist();
@@ -453,13 +454,13 @@
     this->checkFreshness(now);
     this->fetchStoreView();
     this->updateReadiness();
-    if (now - this->settingsReadAt > settingsPause) {
+    if (now - this->settingsReadAt > settingsCheckInterval) {
         this->reloadSettings(false);
     }
     if (this->state.stopping) {
         this->finishStopIfDrained();
     }
-    this->timer.expires_after(tickPause);
+    this->timer.expires_after(tickInterval);
     this->timer.async_wait([this](const asio::error_code &error) {
         if (!error) {
             this->tick();
@@ -483,10 +484,10 @@
 void Gateway::finishStopIfDrained()
 {
     const Duration since = this->state.clock.now() - this->stopStartedAt;
-    if (since < stopLinger) {
+    if (since < stopAcceptTime) {
         return;
     }
-    const bool forced = since > this->state.settings.stopGrace - stopReserve;
+    const bool forced = since > this->state.settings.stopGrace - stopAbortReserve;
     if (this->callerAcceptor.is_open()) {
         logEvent(Event::StopDraining, {{"in_flight", std::to_string(this->exchanges.size())}});
         this->callerAcceptor.close();
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -55,6 +55,7 @@
     /// and accepts new ones until the load balancer has removed it.
     void stop();
 
+    /// \returns the gateway's state, which may only be used on the event loop's thread.
     [[nodiscard]] GatewayState &sharedState() noexcept { return this->state; }
 
 private:
@@ -88,12 +89,11 @@
     void checkFreshness(TimePoint now);
     /// Lists again if other routers have known a newer state than this one for some time.
     void checkLag(TimePoint now);
-    void applyStoreView(const Endpoint &from, const StoreViewQuery &question,
-                        const CallReply &reply);
+    void applyStoreView(const Endpoint &from, const StoreViewQuery &query, const CallReply &reply);
     void finishStopIfDrained();
     /// Applies the settings file again if its text has changed.
     /// \param isRequested whether a signal requested it, which is then logged in any case
-    void reloadSettings(bool wasAsked);
+    void reloadSettings(bool isRequested);
     [[nodiscard]] bool isReady() const noexcept;
 
     asio::io_context context;
--- a/gateway/gatewayrequestdispatch.cpp
+++ b/gateway/gatewayrequestdispatch.cpp
@@ -13,10 +13,10 @@
 
 /// Number of coordinators that may reject a request before it is dispatched without a grant, by the
 /// load that they reported.
-constexpr std::uint32_t mostFullKeepers = 2;
+constexpr std::uint32_t maxCoordinatorRejections = 2;
 /// How long after one router has announced that an engine caches a prefix other routers do not
 /// announce it again. A third of the time for which the announcement is believed.
-constexpr Duration chainNewsSpan = cacheResidency / 3;
+constexpr Duration prefixAnnounceInterval = cacheResidency / 3;
 
 } // namespace
 
@@ -31,15 +31,16 @@
     this->armTimer(this->deadline);
     this->gateway.refreshPeerLoads();
     const auto candidates = this->gateway.upstreams.ofService(this->service);
-    const SelectionRequest wish{this->gateway.settings.dataCentre, hashOf(this->request->attemptId),
-                                this->request->prompt ? &*this->request->prompt : nullptr,
-                                this->prefixHashes, this->triedUpstreams};
+    const SelectionRequest choiceRequest{this->gateway.settings.dataCentre,
+                                         hashOf(this->request->attemptId),
+                                         this->request->prompt ? &*this->request->prompt : nullptr,
+                                         this->prefixHashes, this->triedUpstreams};
     SelectionPolicy policy = this->gateway.settings.choice;
     if (this->gateway.settings.mechanisms.estimates) {
         policy.performance = this->gateway.estimators[this->service].performance(this->now());
     }
-    const auto choice =
-        selectUpstream(candidates, wish, this->gateway.upstreams.prefixIndex, policy, this->now());
+    const auto choice = selectUpstream(candidates, choiceRequest,
+                                       this->gateway.upstreams.prefixIndex, policy, this->now());
     if (!choice) {
         this->fail();
         return;
@@ -54,7 +55,7 @@
         placement.copyFrom = donor.endpoint;
     }
     if (!this->gateway.settings.mechanisms.exactCounts || this->prefixHashes.empty()
-        || this->coordinatorRejections >= mostFullKeepers) {
+        || this->coordinatorRejections >= maxCoordinatorRejections) {
         this->dispatchTo(placement);
         return;
     }
@@ -67,21 +68,21 @@
     if (this->prefixHashes.empty() || this->possibleExecutions > 0 || this->responseStarted) {
         return true;
     }
-    AdmissionRequest asked;
-    asked.expectedDelay = Milliseconds{static_cast<std::int64_t>(choice.expectedDelay)};
-    asked.remainingTimeout = this->remainingTime();
+    AdmissionRequest admissionRequest;
+    admissionRequest.expectedDelay = Milliseconds{static_cast<std::int64_t>(choice.expectedDelay)};
+    admissionRequest.remainingTimeout = this->remainingTime();
     if (this->route->firstEventTimeout.count() > 0) {
         const Duration waited = this->now() - this->incoming.receivedAt;
-        asked.remainingTimeout = std::min(
-            asked.remainingTimeout,
+        admissionRequest.remainingTimeout = std::min(
+            admissionRequest.remainingTimeout,
             std::chrono::duration_cast<Milliseconds>(this->route->firstEventTimeout - waited));
     }
-    asked.objective = this->route->objective;
-    asked.priority = this->rank;
-    asked.occupancy = choice.occupancy;
-    asked.jitterSeed = hashOf(this->request->attemptId);
+    admissionRequest.objective = this->route->objective;
+    admissionRequest.priority = this->rank;
+    admissionRequest.occupancy = choice.occupancy;
+    admissionRequest.jitterSeed = hashOf(this->request->attemptId);
     const AdmissionDecision admittance =
-        plantainswitch::admit(asked, this->gateway.settings.admission);
+        plantainswitch::admit(admissionRequest, this->gateway.settings.admission);
     if (admittance.verdict == AdmissionVerdict::Admitted) {
         return true;
     }
@@ -89,10 +90,10 @@
              {{"request", this->request->attemptId},
               {"verdict", std::string(nameOf(admittance.verdict))},
               {"expected_ms", fmt::format("{:.1f}", choice.expectedDelay)},
-              {"patience_ms", std::to_string(asked.remainingTimeout.count())},
-              {"objective_ms", std::to_string(asked.objective.count())},
-              {"rank", std::to_string(asked.priority)},
-              {"occupancy", fmt::format("{:.2f}", asked.occupancy)},
+              {"patience_ms", std::to_string(admissionRequest.remainingTimeout.count())},
+              {"objective_ms", std::to_string(admissionRequest.objective.count())},
+              {"rank", std::to_string(admissionRequest.priority)},
+              {"occupancy", fmt::format("{:.2f}", admissionRequest.occupancy)},
               {"retry_after_ms", std::to_string(admittance.retryAfter.count())}});
     this->refuse(ErrorKind::Overloaded, "the service is overloaded", admittance.retryAfter);
     return false;
@@ -101,27 +102,27 @@
 void RequestHandler::requestGrant(Selection placement)
 {
     const auto target = this->gateway.upstreams.find(placement.upstreamId);
-    EngineGrantRequest question;
-    question.requestId = this->gateway.fleet->nextRequestId();
-    question.incarnation = incarnationOf(target->replica);
-    question.prefixHashes = this->prefixHashes;
-    question.promptTokens = tokensOf(*this->request->prompt);
-    question.loadBound = placement.choice.loadBound;
-    this->grantId = question.requestId;
-    this->grantedIncarnation = question.incarnation;
+    EngineGrantRequest grantRequest;
+    grantRequest.requestId = this->gateway.fleet->nextRequestId();
+    grantRequest.incarnation = incarnationOf(target->replica);
+    grantRequest.prefixHashes = this->prefixHashes;
+    grantRequest.promptTokens = tokensOf(*this->request->prompt);
+    grantRequest.loadBound = placement.choice.loadBound;
+    this->grantId = grantRequest.requestId;
+    this->grantedIncarnation = grantRequest.incarnation;
     const std::weak_ptr<RequestHandler> weak = this->weak_from_this();
-    this->gateway.fleet->requestGrant(std::move(question),
+    this->gateway.fleet->requestGrant(std::move(grantRequest),
                                       [weak, placement = std::move(placement)](
-                                          const std::optional<EngineGrantReply> &keeperAnswer) {
+                                          const std::optional<EngineGrantReply> &coordinatorReply) {
                                           const auto self = weak.lock();
                                           if (self && self->phase == Phase::Selecting) {
-                                              self->onCoordinatorReply(placement, keeperAnswer);
+                                              self->onCoordinatorReply(placement, coordinatorReply);
                                           }
                                       });
 }
 
 void RequestHandler::onCoordinatorReply(Selection placement,
-                                        const std::optional<EngineGrantReply> &keeperAnswer)
+                                        const std::optional<EngineGrantReply> &coordinatorReply)
 {
     const auto target = this->gateway.upstreams.find(placement.upstreamId);
     if (!target || target->replica.draining) {
@@ -129,14 +130,14 @@
         this->selectAndDispatch();
         return;
     }
-    if (!keeperAnswer) {
+    if (!coordinatorReply) {
         this->dispatchTo(placement);
         return;
     }
     const std::uint32_t others =
-        keeperAnswer->running - std::min(keeperAnswer->running, target->ownRunning);
+        coordinatorReply->running - std::min(coordinatorReply->running, target->ownRunning);
     target->peersRunning = others;
-    if (!keeperAnswer->granted) {
+    if (!coordinatorReply->granted) {
         this->grantId = 0;
         this->coordinatorRejections += 1;
         this->selectAndDispatch();
@@ -144,7 +145,8 @@
     }
     const double tokens = this->promptTokens();
     double cached = 0.0;
-    for (std::size_t i = 0; i < keeperAnswer->cachedParts && i < this->prefixHashes.size(); ++i) {
+    for (std::size_t i = 0; i < coordinatorReply->cachedParts && i < this->prefixHashes.size();
+         ++i) {
         cached += this->request->prompt->parts[i].tokens;
     }
     placement.choice.uncachedTokens = std::min(placement.choice.uncachedTokens, tokens - cached);
@@ -241,17 +243,17 @@
                                      std::move(bytes), this->responseHandlers(), isHead);
 }
 
-void RequestHandler::recordPrefix(std::uint64_t life)
+void RequestHandler::recordPrefix(std::uint64_t incarnation)
 {
     PrefixIndex &memory = this->gateway.upstreams.prefixIndex;
     // Other routers find the engine of this chat by the shared parts of its prompt.
     const auto shared = sharedPrefixOf(this->prefixHashes);
-    if (shared && !memory.wasUsed(*shared, life, chainNewsSpan, this->sentAt)) {
-        this->gateway.updateLog.recordPrefix({*shared, life}, this->sentAt);
+    if (shared && !memory.wasUsed(*shared, incarnation, prefixAnnounceInterval, this->sentAt)) {
+        this->gateway.updateLog.recordPrefix({*shared, incarnation}, this->sentAt);
     }
-    memory.recordUse(this->prefixHashes, life, this->sentAt);
+    memory.recordUse(this->prefixHashes, incarnation, this->sentAt);
     if (shared) {
-        memory.recordSharedUse(*shared, life, this->sentAt);
+        memory.recordSharedUse(*shared, incarnation, this->sentAt);
     }
 }
 
@@ -267,9 +269,9 @@
                     self->onResponseBody(bytes);
                 }
             },
-            [weak](ResponseOutcome end) {
+            [weak](ResponseOutcome outcome) {
                 if (const auto self = weak.lock()) {
-                    self->onResponseEnd(end);
+                    self->onResponseEnd(outcome);
                 }
             }};
 }
--- a/gateway/gatewayrequesthandler.cpp
+++ b/gateway/gatewayrequesthandler.cpp
@@ -13,21 +13,21 @@
 
 /// Fraction of the latency objective after which a silent upstream counts as faulty. Any later, a
 /// second upstream could not respond within the objective any more.
-constexpr double silentPartOfObjective = 0.5;
+constexpr double silenceObjectiveFraction = 0.5;
 /// Silence that never counts as a fault: some decoding steps of an engine and two network transits.
-constexpr Milliseconds leastSilence{60};
+constexpr Milliseconds minSilence{60};
 /// Multiple of the latency objective after which a request is retried elsewhere although its
 /// upstream still responds to others. The request is late by then, and the upstream may have lost
 /// it.
-constexpr int busyPatience = 2;
+constexpr int maxBusyObjectives = 2;
 /// Multiple of the longest pause that callers accept within a stream, after which the stream is
 /// resumed on another upstream.
-constexpr double stalledPauses = 1.5;
+constexpr double stallPauseFactor = 1.5;
 /// Retry-After of a request that no upstream could take: about the time after which an ejected
 /// upstream is tried again.
-constexpr Milliseconds comeBackAfter{400};
+constexpr Milliseconds defaultRetryAfter{400};
 
-std::string millisecondsText(Duration span)
+std::string formatMilliseconds(Duration span)
 {
     return fmt::format("{:.1f}", std::chrono::duration<double, std::milli>(span).count());
 }
@@ -57,7 +57,7 @@
     this->request = this->gateway.dialect.parseRequest(this->incoming.head, reason);
     this->routingTable = this->gateway.routingTable;
     if (!this->routingTable) {
-        this->refuse(ErrorKind::NoCatalogue, "no routing configuration yet", comeBackAfter);
+        this->refuse(ErrorKind::NoCatalogue, "no routing configuration yet", defaultRetryAfter);
         return false;
     }
     if (!this->request) {
@@ -70,16 +70,16 @@
         this->refuse(ErrorKind::NotFound, "no route");
         return false;
     }
-    const RoutedWorkspace *holder = nullptr;
+    const RoutedWorkspace *authenticated = nullptr;
     if (!this->route->allowsAnonymous && this->routingTable->config().requiresKeys) {
-        holder = this->routingTable->findWorkspace(this->request->apiKey);
-        if (holder == nullptr) {
+        authenticated = this->routingTable->findWorkspace(this->request->apiKey);
+        if (authenticated == nullptr) {
             this->refuse(ErrorKind::Unauthorized, "unknown key");
             return false;
         }
-        this->workspace = holder->name;
+        this->workspace = authenticated->name;
     }
-    this->rank = requestPriority(*this->route, holder);
+    this->rank = requestPriority(*this->route, authenticated);
     this->service = serviceOf(*this->route, hashOf(this->request->attemptId));
     this->deadline =
         this->incoming.receivedAt + this->request->timeBudget.value_or(this->route->timeout);
@@ -123,14 +123,14 @@
     using FloatMilliseconds = std::chrono::duration<double, std::milli>;
     if (this->phase == Phase::AwaitingResponse) {
         const double allowed =
-            std::max(static_cast<double>(leastSilence.count()),
-                     silentPartOfObjective * FloatMilliseconds(this->route->objective).count())
+            std::max(static_cast<double>(minSilence.count()),
+                     silenceObjectiveFraction * FloatMilliseconds(this->route->objective).count())
             + this->expectedDelay + this->extraDelay;
         return this->sentAt + std::chrono::duration_cast<Duration>(FloatMilliseconds(allowed));
     }
     if (this->phase == Phase::Relaying && this->route->maxEventInterval.count() > 0) {
         return this->now()
-               + std::chrono::duration_cast<Duration>(stalledPauses
+               + std::chrono::duration_cast<Duration>(stallPauseFactor
                                                       * this->route->maxEventInterval);
     }
     return this->deadline;
@@ -162,8 +162,8 @@
     const bool isBusy =
         this->phase == Phase::AwaitingResponse
         && classifyTimeout(this->sentAt, this->upstream->lastReceived) == TimeoutCause::Busy;
-    if (isBusy && silent < busyPatience * this->route->objective) {
-        this->armTimer(this->sentAt + busyPatience * this->route->objective);
+    if (isBusy && silent < maxBusyObjectives * this->route->objective) {
+        this->armTimer(this->sentAt + maxBusyObjectives * this->route->objective);
         return;
     }
     if (!isBusy) {
@@ -179,15 +179,15 @@
 void RequestHandler::recordUpstreamFault(UpstreamFault fault)
 {
     const TimePoint now = this->now();
-    const bool wasAvoided = isEjected(this->upstream->health, now);
+    const bool wasEjected = isEjected(this->upstream->health, now);
     recordFault(this->upstream->health, fault, now);
-    const bool isNews = !wasAvoided && isEjected(this->upstream->health, now);
-    logEvent(isNews ? Event::UpstreamAvoided : Event::UpstreamFaulty,
+    const bool isNewlyEjected = !wasEjected && isEjected(this->upstream->health, now);
+    logEvent(isNewlyEjected ? Event::UpstreamAvoided : Event::UpstreamFaulty,
              {{"upstream", this->upstream->replica.id},
               {"request", this->request->attemptId},
               {"why", std::string(nameOf(fault))},
               {"path", this->connectionPath},
-              {"after_ms", millisecondsText(now - this->sentAt)},
+              {"after_ms", formatMilliseconds(now - this->sentAt)},
               {"failure_share", fmt::format("{:.2f}", this->upstream->health.failureRate)}});
 }
 
@@ -259,19 +259,20 @@
         this->forwardFailure();
         return;
     }
-    const bool isOver = this->now() + minRemainingTime >= this->deadline;
+    const bool isDeadlineReached = this->now() + minRemainingTime >= this->deadline;
     const bool mayHaveRun = this->possibleExecutions > 0
                             || (this->upstream && this->phase != Phase::Selecting
                                 && !(this->headReceived && this->response.notExecuted));
     if (mayHaveRun) {
-        this->refuse(isOver ? ErrorKind::DeadlineExceeded : ErrorKind::UpstreamFailed,
-                     isOver ? "no answer in time" : "the upstream failed");
-    } else if (isOver) {
+        this->refuse(isDeadlineReached ? ErrorKind::DeadlineExceeded : ErrorKind::UpstreamFailed,
+                     isDeadlineReached ? "no answer in time" : "the upstream failed");
+    } else if (isDeadlineReached) {
         this->refuse(ErrorKind::QueueExpired, "no upstream took it in time");
     } else if (this->rejections > 0) {
-        this->refuse(ErrorKind::Overloaded, "upstreams turned it away", comeBackAfter);
+        this->refuse(ErrorKind::Overloaded, "upstreams turned it away", defaultRetryAfter);
     } else {
-        this->refuse(ErrorKind::UpstreamUnreachable, "no upstream could be reached", comeBackAfter);
+        this->refuse(ErrorKind::UpstreamUnreachable, "no upstream could be reached",
+                     defaultRetryAfter);
     }
 }
 
@@ -285,18 +286,18 @@
         this->finish("cut");
         return;
     }
-    const CallerRequest *const known = this->request ? &*this->request : nullptr;
+    const CallerRequest *const decoded = this->request ? &*this->request : nullptr;
     logEvent(Event::RequestRefused,
-             {{"request", known != nullptr ? known->attemptId : std::string()},
+             {{"request", decoded != nullptr ? decoded->attemptId : std::string()},
               {"kind", std::string(errorRow(kind).name)},
               {"why", std::string(why)},
-              {"host", known != nullptr ? known->host : std::string()},
-              {"path", known != nullptr ? known->path.substr(0, 60) : std::string()},
+              {"host", decoded != nullptr ? decoded->host : std::string()},
+              {"path", decoded != nullptr ? decoded->path.substr(0, 60) : std::string()},
               {"config", this->routingTable ? std::to_string(this->routingTable->config().version)
                                             : std::string("none")},
               {"runs", std::to_string(this->possibleExecutions)}});
     this->caller->respond(this->gateway.dialect.refusalStatus(kind),
-                          this->gateway.dialect.refusalFields(known, retryAfter), {},
+                          this->gateway.dialect.refusalFields(decoded, retryAfter), {},
                           this->gateway.stopping);
     this->finish(errorRow(kind).name);
 }
@@ -305,10 +306,10 @@
 {
     this->phase = Phase::Done;
     this->timer.cancel();
-    const Duration whole = this->now() - this->incoming.receivedAt;
+    const Duration totalTime = this->now() - this->incoming.receivedAt;
     if (this->request && this->route != nullptr) {
         const std::string kind(nameOf(this->route->kind));
-        this->gateway.metrics.record(Timing::Whole, this->workspace, kind, whole, this->now());
+        this->gateway.metrics.record(Timing::Whole, this->workspace, kind, totalTime, this->now());
         if (this->timeToFirstByte > Duration{0}) {
             this->gateway.metrics.record(Timing::FirstByte, this->workspace, kind,
                                          this->timeToFirstByte, this->now());
@@ -323,8 +324,8 @@
                   {"attempts", std::to_string(this->triedUpstreams.size())},
                   {"status", std::to_string(this->response.status)},
                   {"events", std::to_string(this->eventRelay.eventCount())},
-                  {"first_ms", millisecondsText(this->timeToFirstByte)},
-                  {"whole_ms", millisecondsText(whole)},
+                  {"first_ms", formatMilliseconds(this->timeToFirstByte)},
+                  {"whole_ms", formatMilliseconds(totalTime)},
                   {"path", this->connectionPath}});
     }
     this->gateway.metrics.count(outcome == "whole" ? Counter::AnswersWhole : Counter::AnswersCut);
--- a/gateway/gatewayrequesthandler.h
+++ b/gateway/gatewayrequesthandler.h
@@ -72,7 +72,7 @@
                      const std::optional<Endpoint> &copyFrom);
     /// Records that the engine caches the prompt's prefixes, and notifies the other routers if that
     /// is new to them.
-    void recordPrefix(std::uint64_t life);
+    void recordPrefix(std::uint64_t incarnation);
     ResponseHandlers responseHandlers();
     /// Schedules onTimer() at \a due, but no later than the deadline.
     void armTimer(TimePoint due);
--- a/gateway/gatewayrequestresponse.cpp
+++ b/gateway/gatewayrequestresponse.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 /// Number of upstreams that may reject a request before it is refused.
-constexpr std::uint32_t mostRejections = 3;
+constexpr std::uint32_t maxRejections = 3;
 /// Largest response that is buffered as a whole before it is forwarded.
-constexpr std::size_t largestAnswer = 16 << 20;
+constexpr std::size_t maxBufferedResponseBytes = 16 << 20;
 /// Size of the caller's write queue at which reading from the upstream is paused, and below which
 /// it is resumed.
-constexpr std::size_t pauseAbove = 256 << 10;
-constexpr std::size_t resumeBelow = 64 << 10;
+constexpr std::size_t pauseThresholdBytes = 256 << 10;
+constexpr std::size_t resumeThresholdBytes = 64 << 10;
 /// Number of failed connection attempts after which a request is refused as not executed.
-constexpr std::uint32_t mostConnectFailures = 4;
+constexpr std::uint32_t maxConnectFailures = 4;
 
 } // namespace
 
@@ -38,19 +38,19 @@
 {
     this->firstByteReceived = true;
     this->firstByteAt = this->now();
-    const Duration took = this->firstByteAt - this->sentAt;
+    const Duration delay = this->firstByteAt - this->sentAt;
     if (!this->prefixHashes.empty() && !this->isFirstPrefill) {
-        this->firstByteSample.delay = took;
+        this->firstByteSample.delay = delay;
         this->gateway.estimators[this->service].recordFirstByte(this->firstByteSample);
     }
     if (this->timeToFirstByte == Duration{0}) {
         this->timeToFirstByte = this->now() - this->incoming.receivedAt;
     }
-    const bool wasAvoided = isEjected(this->upstream->health, this->now());
+    const bool wasEjected = isEjected(this->upstream->health, this->now());
     const auto expected = std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(this->expectedDelay));
-    recordSuccess(this->upstream->health, took - expected, this->now());
-    if (wasAvoided) {
+    recordSuccess(this->upstream->health, delay - expected, this->now());
+    if (wasEjected) {
         logEvent(Event::UpstreamUsedAgain,
                  {{"upstream", this->upstream->replica.id}, {"request", this->request->attemptId}});
     }
@@ -81,12 +81,12 @@
         return;
     }
     this->upstream->lastReceived = this->now();
-    const bool relays = this->response.status == 200 && this->response.isSigned
-                        && !this->response.isEncoded && this->response.isEventStream
-                        && !this->response.attemptId.empty();
-    if (!relays) {
+    const bool isRelayed = this->response.status == 200 && this->response.isSigned
+                           && !this->response.isEncoded && this->response.isEventStream
+                           && !this->response.attemptId.empty();
+    if (!isRelayed) {
         this->responseBody.append(bytes);
-        if (this->responseBody.size() > largestAnswer) {
+        if (this->responseBody.size() > maxBufferedResponseBytes) {
             this->connection->abort();
             this->onFault(UpstreamFault::InvalidResponse);
         }
@@ -100,14 +100,14 @@
 
 void RequestHandler::relayEvents(std::string_view bytes)
 {
-    std::string whole;
-    if (!this->eventRelay.feed(bytes, whole)) {
+    std::string completeEvents;
+    if (!this->eventRelay.feed(bytes, completeEvents)) {
         this->connection->abort();
         this->onFault(UpstreamFault::InvalidResponse);
         return;
     }
     this->phase = Phase::Relaying;
-    if (whole.empty()) {
+    if (completeEvents.empty()) {
         return;
     }
     if (!this->responseStarted) {
@@ -115,9 +115,9 @@
         this->caller->startChunked(this->response.status, this->response.forwardedFields,
                                    this->gateway.stopping);
     }
-    this->caller->writeChunk(whole);
+    this->caller->writeChunk(completeEvents);
     this->armTimer(this->silenceDeadline());
-    if (this->caller->queuedBytes() > pauseAbove) {
+    if (this->caller->queuedBytes() > pauseThresholdBytes) {
         this->connection->pauseReading();
     }
 }
@@ -125,24 +125,24 @@
 void RequestHandler::onCallerWritable()
 {
     if (this->phase == Phase::Relaying && this->connection
-        && this->caller->queuedBytes() < resumeBelow) {
+        && this->caller->queuedBytes() < resumeThresholdBytes) {
         this->connection->resumeReading();
     }
 }
 
-void RequestHandler::onResponseEnd(ResponseOutcome end)
+void RequestHandler::onResponseEnd(ResponseOutcome outcome)
 {
     const auto self = this->shared_from_this();
     if (this->phase == Phase::Done) {
         return;
     }
-    if (end == ResponseOutcome::ConnectFailed) {
+    if (outcome == ResponseOutcome::ConnectFailed) {
         this->onConnectFailed();
         return;
     }
-    if (end != ResponseOutcome::Complete) {
-        this->onFault(end == ResponseOutcome::Malformed ? UpstreamFault::InvalidResponse
-                                                        : UpstreamFault::ConnectionLost);
+    if (outcome != ResponseOutcome::Complete) {
+        this->onFault(outcome == ResponseOutcome::Malformed ? UpstreamFault::InvalidResponse
+                                                            : UpstreamFault::ConnectionLost);
         return;
     }
     this->gateway.upstreams.release(*this->upstream, this->connection);
@@ -160,7 +160,7 @@
     this->gateway.recordUpstreamDown(this->upstream->replica);
     this->releaseUpstream();
     this->connectFailures += 1;
-    if (this->connectFailures >= mostConnectFailures) {
+    if (this->connectFailures >= maxConnectFailures) {
         this->fail();
         return;
     }
@@ -177,7 +177,7 @@
                                                          : UpstreamFault::Rejected);
     this->releaseUpstream();
     this->rejections += 1;
-    if (this->rejections > mostRejections || !this->retry("turned away")) {
+    if (this->rejections > maxRejections || !this->retry("turned away")) {
         this->fail();
     }
 }
@@ -188,9 +188,9 @@
     if (isSuccess) {
         this->gateway.recordAnswered(this->fingerprint);
     }
-    const bool isUsable =
+    const bool isTrusted =
         !this->response.isEncoded && !this->response.attemptId.empty() && this->response.isSigned;
-    if (!isUsable) {
+    if (!isTrusted) {
         this->onFault(UpstreamFault::InvalidResponse);
         return;
     }
--- a/gateway/gatewaysettings.cpp
+++ b/gateway/gatewaysettings.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr std::uint32_t highestPort = 65535;
-constexpr double mostGraceSeconds = 600.0;
-constexpr std::uint32_t mostDrainMilliseconds = 60'000;
+constexpr std::uint32_t maxPort = 65535;
+constexpr double maxGraceSeconds = 600.0;
+constexpr std::uint32_t maxDrainMilliseconds = 60'000;
 constexpr std::uint32_t minCatchUpMilliseconds = 500;
 constexpr std::uint32_t maxCatchUpMilliseconds = 60'000;
-constexpr double mostWindowSeconds = 3600.0;
+constexpr double maxWindowSeconds = 3600.0;
 constexpr double maxDelayMilliseconds = 60'000.0;
 constexpr double maxWeight = 1000.0;
 
@@ -23,8 +23,8 @@
     std::uint32_t datagramPort = 0;
     std::uint32_t callPort = 0;
     fields.read("address", host, true);
-    fields.read("datagramPort", datagramPort, 1, highestPort, true);
-    fields.read("callPort", callPort, 1, highestPort, true);
+    fields.read("datagramPort", datagramPort, 1, maxPort, true);
+    fields.read("callPort", callPort, 1, maxPort, true);
     fields.read("seeds", settings.seeds);
     settings.peerDatagrams = {host, static_cast<std::uint16_t>(datagramPort)};
     settings.peerCalls = {host, static_cast<std::uint16_t>(callPort)};
@@ -38,10 +38,10 @@
 {
     FieldReader fields(parent.child("retries"), parent.pathOf("retries"), faults);
     double window = static_cast<double>(limit.window.count());
-    constexpr double mostMargin = 1'000'000.0;
+    constexpr double maxMargin = 1'000'000.0;
     fields.read("ratio", limit.ratio, 0.0, 1.0);
-    fields.read("margin", limit.margin, 0.0, mostMargin);
-    fields.read("windowSeconds", window, 1.0, mostWindowSeconds);
+    fields.read("margin", limit.margin, 0.0, maxMargin);
+    fields.read("windowSeconds", window, 1.0, maxWindowSeconds);
     fields.finish();
     limit.window = Seconds{static_cast<std::int64_t>(window)};
 }
@@ -105,13 +105,13 @@
     readAdmission(fields, settings.admission, faults);
     readMechanisms(fields, settings.mechanisms, faults);
     auto drain = static_cast<std::uint32_t>(settings.maxDrainTime.count());
-    fields.read("drainMilliseconds", drain, 1, mostDrainMilliseconds);
+    fields.read("drainMilliseconds", drain, 1, maxDrainMilliseconds);
     settings.maxDrainTime = Milliseconds{drain};
     auto catchUp = static_cast<std::uint32_t>(settings.maxCatchUpTime.count());
     fields.read("catchUpMilliseconds", catchUp, minCatchUpMilliseconds, maxCatchUpMilliseconds);
     settings.maxCatchUpTime = Milliseconds{catchUp};
     double grace = std::chrono::duration<double>(settings.stopGrace).count();
-    fields.read("graceSeconds", grace, 1.0, mostGraceSeconds);
+    fields.read("graceSeconds", grace, 1.0, maxGraceSeconds);
     settings.stopGrace =
         std::chrono::duration_cast<Milliseconds>(std::chrono::duration<double>(grace));
     settings.log = readLogSettings(fields, faults);
--- a/gateway/gatewaystore.cpp
+++ b/gateway/gatewaystore.cpp
@@ -14,22 +14,22 @@
 
 /// After its start a router lists once and collects updates for this time before it decides whether
 /// to watch the store. Well below the bound on the delay of a configuration change.
-constexpr Milliseconds discoverySpan{800};
+constexpr Milliseconds discoveryTime{800};
 /// Timeout for the store view of another router: a configuration of some hundred kilobytes over a
 /// slow link that is shared by three others.
-constexpr Milliseconds catchUpLimit{2500};
+constexpr Milliseconds storeViewTimeout{2500};
 /// Time without a byte after which another router is asked: one behind a new partition still counts
 /// as alive. About ten times the longest turn of an event loop on a small VM. After several such
 /// routers in a row, an upstream's draining is still applied within its two seconds.
-constexpr Milliseconds catchUpSilence{400};
+constexpr Milliseconds storeViewIdleTimeout{400};
 /// How long other routers may know more than this router's own watches have reported. Longer than
 /// changes take to spread, and short enough to apply a configuration change within two seconds.
-constexpr Milliseconds behindSpan{700};
+constexpr Milliseconds maxLag{700};
 /// How long a joining router waits for replies from its own data centre. Until then it uses a stale
 /// list, rather than fetch the view from another data centre.
-constexpr Milliseconds joiningSpan{300};
+constexpr Milliseconds joinDelay{300};
 /// Timeout for registering this router in the store.
-constexpr Milliseconds announceLimit{2500};
+constexpr Milliseconds registrationTimeout{2500};
 
 } // namespace
 
@@ -79,7 +79,7 @@
     const TimePoint now = this->state.clock.now();
     std::vector<Replica> listed;
     std::vector<ReplicaEvent> events;
-    const auto keep = [&events](std::vector<ReplicaEvent> more) {
+    const auto appendEvents = [&events](std::vector<ReplicaEvent> more) {
         std::move(more.begin(), more.end(), std::back_inserter(events));
     };
     const std::uint64_t revision =
@@ -103,15 +103,15 @@
         if (isList) {
             listed.push_back(std::move(*replica));
         } else {
-            keep(this->state.replicaDirectory.applyEntry(std::move(*replica)));
+            appendEvents(this->state.replicaDirectory.applyEntry(std::move(*replica)));
         }
     }
     if (isList) {
-        keep(this->state.replicaDirectory.applyList(std::move(listed), keepUntil, now));
+        appendEvents(this->state.replicaDirectory.applyList(std::move(listed), keepUntil, now));
         this->state.isDirectoryLoaded = true;
     } else {
-        keep(this->state.replicaDirectory.applyRemovals({removed.begin(), removed.end()}, keepUntil,
-                                                        now));
+        appendEvents(this->state.replicaDirectory.applyRemovals({removed.begin(), removed.end()},
+                                                                keepUntil, now));
     }
     this->applyReplicaEvents(events);
     advanceRevision(this->state.storeView, this->replicaFollower.latestChange(),
@@ -167,7 +167,7 @@
     this->registrationClient.call(
         this->state.settings.store, "POST",
         this->state.dialect.listTarget(StoreObjectKind::Routers, {}, ReadConsistency::Linearizable),
-        this->state.dialect.serializeRouterEntry(own), {announceLimit},
+        this->state.dialect.serializeRouterEntry(own), {registrationTimeout},
         [this](const CallReply &reply) {
             logEvent(Event::Announced, {{"status", std::to_string(reply.status)}});
             if (this->state.peerLoads.routerCount() == 0) {
@@ -182,7 +182,7 @@
     this->registrationClient.call(
         this->state.settings.store, "GET",
         this->state.dialect.listTarget(StoreObjectKind::Routers, {}, ReadConsistency::Linearizable),
-        {}, {announceLimit}, [this](const CallReply &listed) {
+        {}, {registrationTimeout}, [this](const CallReply &listed) {
             const auto answer = this->state.dialect.parseList(listed.body);
             logEvent(Event::ObjectsListed,
                      {{"kind", "routers"},
@@ -212,7 +212,7 @@
 void Gateway::updateWatchRole()
 {
     const TimePoint now = this->state.clock.now();
-    if (now - this->startedAt < discoverySpan) {
+    if (now - this->startedAt < discoveryTime) {
         return;
     }
     const bool isChosen = this->fleet.watchRank().has_value();
@@ -254,16 +254,16 @@
 
 void Gateway::checkLag(TimePoint now)
 {
-    const bool isPausing =
+    const bool isGathering =
         this->routingFollower.isGatheringChanges() || this->replicaFollower.isGatheringChanges();
-    const bool isBehind = this->state.storeView.connected && !isPausing
-                          && !this->state.replicaDirectory.hasMissing()
-                          && this->fleet.newerRouter();
-    if (!isBehind) {
+    const bool isLagging = this->state.storeView.connected && !isGathering
+                           && !this->state.replicaDirectory.hasMissing()
+                           && this->fleet.newerRouter();
+    if (!isLagging) {
         this->laggingSince.reset();
         return;
     }
-    if (now - this->laggingSince.value_or(now) < behindSpan) {
+    if (now - this->laggingSince.value_or(now) < maxLag) {
         this->laggingSince = this->laggingSince.value_or(now);
         return;
     }
@@ -284,20 +284,20 @@
         return;
     }
     const bool isJoining = this->state.storeView.revision == 0 && this->state.isDirectoryLoaded;
-    if (isJoining && this->state.clock.now() - this->startedAt < joiningSpan) {
+    if (isJoining && this->state.clock.now() - this->startedAt < joinDelay) {
         return;
     }
-    const StoreViewQuery question{
-        this->state.storeView.revision,
-        this->state.routingTable ? this->state.routingTable->config().version : 0};
-    this->storeViewClient.call(*router, "GET", storeViewTarget(question), {},
-                               {catchUpLimit, catchUpSilence},
-                               [this, from = *router, question](const CallReply &reply) {
-                                   this->applyStoreView(from, question, reply);
+    const StoreViewQuery query{this->state.storeView.revision,
+                               this->state.routingTable ? this->state.routingTable->config().version
+                                                        : 0};
+    this->storeViewClient.call(*router, "GET", storeViewTarget(query), {},
+                               {storeViewTimeout, storeViewIdleTimeout},
+                               [this, from = *router, query](const CallReply &reply) {
+                                   this->applyStoreView(from, query, reply);
                                });
 }
 
-void Gateway::applyStoreView(const Endpoint &from, const StoreViewQuery &question,
+void Gateway::applyStoreView(const Endpoint &from, const StoreViewQuery &query,
                              const CallReply &reply)
 {
     constexpr int ok = 200;
@@ -324,7 +324,7 @@
     this->state.storeView.revision = std::max(this->state.storeView.revision, view->revision);
     // Upstreams of a stale list may have been removed since. The view that replaces it is complete.
     const UpdateScope scope =
-        question.revision == 0 ? UpdateScope::Snapshot : UpdateScope::Incremental;
+        query.revision == 0 ? UpdateScope::Snapshot : UpdateScope::Incremental;
     this->applyReplicaObjects(items, scope, {});
     this->state.isDirectoryLoaded = true;
     this->updateReadiness();
--- a/gateway/http1.cpp
+++ b/gateway/http1.cpp
@@ -36,9 +36,9 @@
     MessageHead head;
     std::string statusText;
     bool lastWasValue = false;
-    bool headDone = false;
-    bool whole = false;
-    bool noBody = false;
+    bool isHeadComplete = false;
+    bool isComplete = false;
+    bool expectsEmptyBody = false;
     /// An informational (1xx) response, such as 100, that is followed by the final one.
     bool interim = false;
     MessageKind kind = MessageKind::Request;
@@ -50,14 +50,14 @@
         this->parser.data = this;
         this->head = {};
         this->lastWasValue = false;
-        this->headDone = false;
-        this->whole = false;
+        this->isHeadComplete = false;
+        this->isComplete = false;
         this->interim = false;
     }
 
-    void takeName(std::string_view part)
+    void onFieldName(std::string_view part)
     {
-        if (this->headDone) {
+        if (this->isHeadComplete) {
             return;
         }
         if (this->head.fields.empty() || this->lastWasValue) {
@@ -67,17 +67,17 @@
         this->lastWasValue = false;
     }
 
-    void takeValue(std::string_view part)
+    void onFieldValue(std::string_view part)
     {
         this->lastWasValue = true;
-        if (!this->headDone && !this->head.fields.empty()) {
+        if (!this->isHeadComplete && !this->head.fields.empty()) {
             this->head.fields.back().value.append(part);
         }
     }
 
-    int finishHead()
+    int onHeadComplete()
     {
-        this->headDone = true;
+        this->isHeadComplete = true;
         this->head.keepAlive = http_should_keep_alive(&this->parser) != 0;
         this->head.chunked = (this->parser.flags & F_CHUNKED) != 0;
         if ((this->parser.flags & F_CONTENTLENGTH) != 0) {
@@ -93,7 +93,7 @@
             this->events.onHead(std::move(this->head));
         }
         this->head = {};
-        return this->noBody ? 1 : 0;
+        return this->expectsEmptyBody ? 1 : 0;
     }
 };
 
@@ -159,24 +159,24 @@
 
 void MessageParser::expectEmptyBody() noexcept
 {
-    this->state->noBody = true;
+    this->state->expectsEmptyBody = true;
 }
 
 bool MessageParser::inBody() const noexcept
 {
-    return this->state->headDone && !this->state->whole;
+    return this->state->isHeadComplete && !this->state->isComplete;
 }
 
 ParseState MessageParser::feed(std::string_view bytes)
 {
-    if (this->state->headDone && !this->state->whole && this->buffered.empty()) {
-        std::size_t used = 0;
-        const ParseState reached = this->execute(bytes, used);
-        this->buffered.assign(bytes.substr(used));
-        return reached;
+    if (this->state->isHeadComplete && !this->state->isComplete && this->buffered.empty()) {
+        std::size_t consumed = 0;
+        const ParseState parseState = this->execute(bytes, consumed);
+        this->buffered.assign(bytes.substr(consumed));
+        return parseState;
     }
     this->buffered.append(bytes);
-    return this->state->whole ? ParseState::Complete : this->parseMessage();
+    return this->state->isComplete ? ParseState::Complete : this->parseMessage();
 }
 
 ParseState MessageParser::beginNext()
@@ -187,24 +187,24 @@
 
 ParseState MessageParser::finish()
 {
-    if (!this->state->headDone) {
+    if (!this->state->isHeadComplete) {
         return ParseState::Malformed;
     }
-    if (this->state->whole) {
+    if (this->state->isComplete) {
         return ParseState::Complete;
     }
-    std::size_t used = 0;
-    return this->execute({}, used);
+    std::size_t consumed = 0;
+    return this->execute({}, consumed);
 }
 
 ParseState MessageParser::parseMessage()
 {
-    ParseState reached = this->parseHead();
-    while (reached == ParseState::Complete && this->state->interim) {
+    ParseState parseState = this->parseHead();
+    while (parseState == ParseState::Complete && this->state->interim) {
         this->state->begin();
-        reached = this->parseHead();
+        parseState = this->parseHead();
     }
-    return reached;
+    return parseState;
 }
 
 ParseState MessageParser::parseHead()
@@ -219,8 +219,8 @@
         if (this->buffered.size() > this->maxHeadBytes) {
             return ParseState::HeadTooLarge;
         }
-        const bool bareEnd = this->buffered.find("\n\n") != std::string::npos;
-        return bareEnd ? ParseState::Malformed : ParseState::Incomplete;
+        const bool hasBareLineFeeds = this->buffered.find("\n\n") != std::string::npos;
+        return hasBareLineFeeds ? ParseState::Malformed : ParseState::Incomplete;
     }
     const std::size_t size = end + blankLine.size();
     if (size > this->maxHeadBytes) {
@@ -229,49 +229,49 @@
     if (!isUnambiguousHead(std::string_view(this->buffered).substr(0, size))) {
         return ParseState::Malformed;
     }
-    std::size_t used = 0;
-    const ParseState reached = this->execute(this->buffered, used);
-    this->buffered.erase(0, used);
-    return reached;
+    std::size_t consumed = 0;
+    const ParseState parseState = this->execute(this->buffered, consumed);
+    this->buffered.erase(0, consumed);
+    return parseState;
 }
 
-ParseState MessageParser::execute(std::string_view bytes, std::size_t &used)
+ParseState MessageParser::execute(std::string_view bytes, std::size_t &consumed)
 {
     static const http_parser_settings settings = [] {
-        http_parser_settings made;
-        http_parser_settings_init(&made);
-        made.on_url = [](http_parser *parser, const char *at, std::size_t size) {
+        http_parser_settings callbacks;
+        http_parser_settings_init(&callbacks);
+        callbacks.on_url = [](http_parser *parser, const char *at, std::size_t size) {
             static_cast<State *>(parser->data)->head.target.append(at, size);
             return 0;
         };
-        made.on_header_field = [](http_parser *parser, const char *at, std::size_t size) {
-            static_cast<State *>(parser->data)->takeName({at, size});
+        callbacks.on_header_field = [](http_parser *parser, const char *at, std::size_t size) {
+            static_cast<State *>(parser->data)->onFieldName({at, size});
             return 0;
         };
-        made.on_header_value = [](http_parser *parser, const char *at, std::size_t size) {
-            static_cast<State *>(parser->data)->takeValue({at, size});
+        callbacks.on_header_value = [](http_parser *parser, const char *at, std::size_t size) {
+            static_cast<State *>(parser->data)->onFieldValue({at, size});
             return 0;
         };
-        made.on_headers_complete = [](http_parser *parser) {
-            return static_cast<State *>(parser->data)->finishHead();
+        callbacks.on_headers_complete = [](http_parser *parser) {
+            return static_cast<State *>(parser->data)->onHeadComplete();
         };
-        made.on_body = [](http_parser *parser, const char *at, std::size_t size) {
+        callbacks.on_body = [](http_parser *parser, const char *at, std::size_t size) {
             static_cast<State *>(parser->data)->events.onBody({at, size});
             return 0;
         };
-        made.on_message_complete = [](http_parser *parser) {
-            static_cast<State *>(parser->data)->whole = true;
+        callbacks.on_message_complete = [](http_parser *parser) {
+            static_cast<State *>(parser->data)->isComplete = true;
             http_parser_pause(parser, 1);
             return 0;
         };
-        return made;
+        return callbacks;
     }();
     http_parser &parser = this->state->parser;
-    used = http_parser_execute(&parser, &settings, bytes.data(), bytes.size());
+    consumed = http_parser_execute(&parser, &settings, bytes.data(), bytes.size());
     if (parser.upgrade != 0) {
         return ParseState::Malformed;
     }
-    if (this->state->whole) {
+    if (this->state->isComplete) {
         return ParseState::Complete;
     }
     return HTTP_PARSER_ERRNO(&parser) == HPE_OK ? ParseState::Incomplete : ParseState::Malformed;
--- a/gateway/http1.h
+++ b/gateway/http1.h
@@ -70,6 +70,7 @@
 class MessageParser
 {
 public:
+    /// \param maxHeadBytes size of a head above which it is rejected
     MessageParser(MessageKind kind, std::size_t largestHead, MessageHandlers events);
     ~MessageParser();
     MessageParser(const MessageParser &) = delete;
@@ -96,7 +97,7 @@
 
     ParseState parseMessage();
     ParseState parseHead();
-    ParseState execute(std::string_view bytes, std::size_t &used);
+    ParseState execute(std::string_view bytes, std::size_t &consumed);
 
     std::size_t maxHeadBytes;
     std::string buffered;
--- a/gateway/logwriter.cpp
+++ b/gateway/logwriter.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /// Lines within this interval are written together, to save system calls.
-constexpr std::chrono::milliseconds gatherSpan{100};
+constexpr std::chrono::milliseconds flushInterval{100};
 /// Size of the buffered lines at which they are written at once.
-constexpr std::size_t gatherBytes = 32 << 10;
+constexpr std::size_t flushThresholdBytes = 32 << 10;
 
 } // namespace
 
@@ -27,7 +27,7 @@
 void LogWriter::append(Severity severity, std::string_view line)
 {
     this->lines.push(severity, line);
-    if (this->lines.pending().size() >= gatherBytes) {
+    if (this->lines.pending().size() >= flushThresholdBytes) {
         this->flush();
         return;
     }
@@ -40,7 +40,7 @@
         return;
     }
     this->isFlushScheduled = true;
-    this->timer.expires_after(gatherSpan);
+    this->timer.expires_after(flushInterval);
     this->timer.async_wait([this](const asio::error_code &error) {
         this->isFlushScheduled = false;
         if (!error) {
--- a/gateway/logwriter.h
+++ b/gateway/logwriter.h
@@ -18,6 +18,8 @@
 public:
     explicit LogWriter(asio::io_context &context);
 
+    /// Queues one line. If the reader is too slow, lines are dropped, those below warnings first,
+    /// and their number is logged.
     void append(Severity severity, std::string_view line);
     /// Writes as much as possible without blocking.
     void flush();
--- a/gateway/performancelogger.cpp
+++ b/gateway/performancelogger.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr Seconds minLogInterval{5};
-constexpr double loggedChange = 0.2;
+constexpr double minLoggedChange = 0.2;
 
 bool differs(double last, double current)
 {
-    return std::abs(current - last) >= loggedChange * std::abs(last);
+    return std::abs(current - last) >= minLoggedChange * std::abs(last);
 }
 
 bool hasChanged(const ServicePerformance &last, const ServicePerformance &current)
--- a/gateway/sequentialhttpclient.cpp
+++ b/gateway/sequentialhttpclient.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 /// Timeout for a new connection.
-constexpr Milliseconds connectLimit{1000};
+constexpr Milliseconds connectTimeout{1000};
 
 } // namespace
 
 void SequentialHttpClient::call(const Endpoint &server, std::string_view method,
                                 const std::string &target, const std::string &body,
-                                CallTimeouts newLimits, std::function<void(CallReply)> newDone)
+                                CallTimeouts newTimeouts, std::function<void(CallReply)> newDone)
 {
     this->done = std::move(newDone);
     this->reply = {};
     this->callCount += 1;
-    this->limits = newLimits;
+    this->timeouts = newTimeouts;
     this->startedAt = this->gateway.clock.now();
     this->lastReceivedAt = this->startedAt;
     std::string request =
@@ -28,7 +28,7 @@
             fmt::format("Content-Type: application/json\r\nContent-Length: {}\r\n", body.size());
     }
     request.append("\r\n").append(body);
-    ResponseHandlers events{
+    ResponseHandlers responseHandlers{
         [this](const MessageHead &head) {
             this->lastReceivedAt = this->gateway.clock.now();
             this->reply.status = head.status;
@@ -43,29 +43,30 @@
         }};
     this->armTimer();
     if (this->connection && this->connection->isReusable() && this->connectedTo == server) {
-        this->connection->send(request, std::move(events));
+        this->connection->send(request, std::move(responseHandlers));
         return;
     }
     this->connection =
         std::make_shared<UpstreamConnection>(this->gateway.context, this->gateway.clock);
     this->connectedTo = server;
-    this->connection->connectAndSend(server, std::min(connectLimit, newLimits.total),
-                                     std::move(request), std::move(events));
+    this->connection->connectAndSend(server, std::min(connectTimeout, newTimeouts.total),
+                                     std::move(request), std::move(responseHandlers));
 }
 
 void SequentialHttpClient::armTimer()
 {
-    TimePoint due = this->startedAt + this->limits.total;
-    if (this->limits.idle.count() > 0) {
-        due = std::min(due, this->lastReceivedAt + this->limits.idle);
+    TimePoint due = this->startedAt + this->timeouts.total;
+    if (this->timeouts.idle.count() > 0) {
+        due = std::min(due, this->lastReceivedAt + this->timeouts.idle);
     }
     this->timer.expires_at(due);
     this->timer.async_wait([this, due, number = this->callCount](const asio::error_code &error) {
         if (error || number != this->callCount || !this->done) {
             return;
         }
-        const bool isOver = due >= this->startedAt + this->limits.total;
-        if (!isOver && this->gateway.clock.now() - this->lastReceivedAt < this->limits.idle) {
+        const bool isTotalReached = due >= this->startedAt + this->timeouts.total;
+        if (!isTotalReached
+            && this->gateway.clock.now() - this->lastReceivedAt < this->timeouts.idle) {
             this->armTimer();
             return;
         }
@@ -83,13 +84,13 @@
     }
 }
 
-void SequentialHttpClient::finish(CallReply ended)
+void SequentialHttpClient::finish(CallReply result)
 {
     this->timer.cancel();
-    const auto finished = std::move(this->done);
+    const auto completion = std::move(this->done);
     this->done = nullptr;
-    if (finished) {
-        finished(std::move(ended));
+    if (completion) {
+        completion(std::move(result));
     }
 }
 
--- a/gateway/sequentialhttpclient.h
+++ b/gateway/sequentialhttpclient.h
@@ -37,7 +37,7 @@
 
     /// Starts a call. \a done is called once, later.
     void call(const Endpoint &server, std::string_view method, const std::string &target,
-              const std::string &body, CallTimeouts limits, std::function<void(CallReply)> done);
+              const std::string &body, CallTimeouts timeouts, std::function<void(CallReply)> done);
     /// Cancels the running call; its \a done is not called.
     void cancel();
     /// \returns whether a call is running.
@@ -54,7 +54,7 @@
     std::function<void(CallReply)> done;
     CallReply reply;
     Endpoint connectedTo;
-    CallTimeouts limits;
+    CallTimeouts timeouts;
     TimePoint startedAt;
     TimePoint lastReceivedAt;
     std::uint64_t callCount = 0;
--- a/gateway/storefollower.cpp
+++ b/gateway/storefollower.cpp
@@ -13,13 +13,13 @@
 /// How much later than requested a watch may end.
 constexpr Milliseconds watchSlack{3000};
 /// Timeout of a list, about a hundred times the store's usual response time.
-constexpr Milliseconds listLimit{2500};
+constexpr Milliseconds listTimeout{2500};
 /// Lower bound of the timeout for the first byte of a list, which may include connecting on a small
 /// VM.
-constexpr Milliseconds minListTimeout{1000};
+constexpr Milliseconds minFirstByteTimeout{1000};
 /// How long the pages of one list may take. Shorter than the history that the store keeps, from
 /// which changes since the first page are fetched.
-constexpr Milliseconds longestListing{5000};
+constexpr Milliseconds maxListDuration{5000};
 constexpr int statusOk = 200;
 constexpr int statusGone = 410;
 constexpr int statusTooMany = 429;
@@ -161,19 +161,19 @@
 Milliseconds StoreFollower::callAge() const
 {
     const auto &since = this->syncState.callStartedAt;
-    const Duration span = since ? this->gateway.clock.now() - *since : Duration{0};
-    return std::chrono::duration_cast<Milliseconds>(span);
+    const Duration age = since ? this->gateway.clock.now() - *since : Duration{0};
+    return std::chrono::duration_cast<Milliseconds>(age);
 }
 
 Milliseconds StoreFollower::confirmationAge() const
 {
-    const Duration span = this->gateway.clock.now() - this->syncState.confirmedAt;
-    return std::chrono::duration_cast<Milliseconds>(span);
+    const Duration age = this->gateway.clock.now() - this->syncState.confirmedAt;
+    return std::chrono::duration_cast<Milliseconds>(age);
 }
 
 void StoreFollower::list()
 {
-    if (this->gateway.clock.now() - this->listStartedAt > longestListing) {
+    if (this->gateway.clock.now() - this->listStartedAt > maxListDuration) {
         this->partialList.clear();
     }
     const std::string after =
@@ -181,7 +181,7 @@
     this->currentWatchWait = Milliseconds{0};
     this->changedAt.reset();
     this->call(this->gateway.dialect.listTarget(this->kind, after, this->listConsistency),
-               {listLimit, std::max(minListTimeout, this->responseTimeout.value())},
+               {listTimeout, std::max(minFirstByteTimeout, this->responseTimeout.value())},
                &StoreFollower::onListReply);
 }
 
@@ -304,8 +304,8 @@
 void StoreFollower::recordChanges(const std::vector<StoreObject> &items, std::uint64_t revision)
 {
     // A removed object does not carry the revision of its last change.
-    constexpr std::uint64_t first = 1;
-    this->lastChange = std::max(this->lastChange, first);
+    constexpr std::uint64_t firstRevision = 1;
+    this->lastChange = std::max(this->lastChange, firstRevision);
     for (const StoreObject &item : items) {
         this->lastChange = std::max(this->lastChange, item.deleted ? revision : item.revision);
     }
--- a/gateway/storefollower.h
+++ b/gateway/storefollower.h
@@ -38,6 +38,7 @@
     /// Lists once; resume() starts the watch. After a stale list revision() stays 0 and resume()
     /// lists again, since no change reports what was removed before the list.
     void start(ReadConsistency consistency = ReadConsistency::Linearizable);
+    /// Ends retries; the response of a running call is ignored.
     void stop();
     /// Stops the watch until resume(). Meanwhile the state comes from other routers.
     void pause();
@@ -56,6 +57,7 @@
         this->lastChange = std::max(this->lastChange, this->syncState.revision);
     }
     [[nodiscard]] bool isPaused() const noexcept { return this->paused; }
+    /// \returns whether resume() was called since the last pause().
     [[nodiscard]] bool isWatching() const noexcept { return this->watching; }
     /// \returns whether it delays the next watch after a change, to gather further changes.
     [[nodiscard]] bool isGatheringChanges() const noexcept { return this->changedAt.has_value(); }
--- a/gateway/storeview.cpp
+++ b/gateway/storeview.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::optional<std::uint64_t> parameterOf(std::string_view target, std::string_view name)
+std::optional<std::uint64_t> queryParameter(std::string_view target, std::string_view name)
 {
     const std::size_t at = target.find(name);
     if (at == std::string_view::npos) {
@@ -30,10 +30,9 @@
 
 } // namespace
 
-std::string storeViewTarget(const StoreViewQuery &question)
+std::string storeViewTarget(const StoreViewQuery &query)
 {
-    return fmt::format("{}?since={}&config={}", storeViewPath, question.revision,
-                       question.configVersion);
+    return fmt::format("{}?since={}&config={}", storeViewPath, query.revision, query.configVersion);
 }
 
 std::optional<StoreViewQuery> parseStoreViewQuery(std::string_view target)
@@ -41,8 +40,8 @@
     if (!target.starts_with(storeViewPath)) {
         return std::nullopt;
     }
-    const auto revision = parameterOf(target, "since=");
-    const auto version = parameterOf(target, "config=");
+    const auto revision = queryParameter(target, "since=");
+    const auto version = queryParameter(target, "config=");
     if (!revision || !version) {
         return std::nullopt;
     }
@@ -50,18 +49,18 @@
 }
 
 std::string serializeStoreView(const StoreView &view, std::uint64_t configVersion,
-                               const StoreViewQuery &question)
+                               const StoreViewQuery &query)
 {
     nlohmann::json json{{"revision", view.revision}, {"replicas", nlohmann::json::object()}};
     for (const auto &[name, replica] : view.replicas) {
-        if (replica.revision > question.revision) {
+        if (replica.revision > query.revision) {
             json["replicas"][name] =
                 replica.removed ? nlohmann::json() : nlohmann::json(replica.document);
         }
     }
     std::string text = json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     text += '\n';
-    if (configVersion > question.configVersion) {
+    if (configVersion > query.configVersion) {
         // Appended unescaped: escaping hundreds of kilobytes would keep a small VM's processor busy
         // for a large part of a second.
         text += view.routingDocument;
@@ -111,14 +110,14 @@
     return revision < view.revision;
 }
 
-void recordRemoval(StoreView &view, const std::string &name, std::uint64_t heard)
+void recordRemoval(StoreView &view, const std::string &name, std::uint64_t knownRevision)
 {
     // Above every revision known here or to routers as recent as this one, so that the next query
     // of each returns the removal.
-    view.replicas[name] = {{}, true, std::max(view.revision, heard) + 1};
+    view.replicas[name] = {{}, true, std::max(view.revision, knownRevision) + 1};
 }
 
-bool StoreViewLimiter::tryBegin(std::size_t size, std::function<bool()> hasLeft)
+bool StoreViewLimiter::tryBegin(std::size_t size, std::function<bool()> isTransferDone)
 {
     if (size < largeViewBytes) {
         return true;
@@ -127,7 +126,7 @@
     if (this->transfers.size() >= maxConcurrentLargeViews) {
         return false;
     }
-    this->transfers.push_back(std::move(hasLeft));
+    this->transfers.push_back(std::move(isTransferDone));
     return true;
 }
 
--- a/gateway/storeview.h
+++ b/gateway/storeview.h
@@ -23,7 +23,7 @@
 };
 
 /// \returns path and query of a request for \a query.
-[[nodiscard]] std::string storeViewTarget(const StoreViewQuery &question);
+[[nodiscard]] std::string storeViewTarget(const StoreViewQuery &query);
 /// \returns the query in \a target, or nothing if it is not a request for a store view.
 [[nodiscard]] std::optional<StoreViewQuery> parseStoreViewQuery(std::string_view target);
 
@@ -31,7 +31,7 @@
 /// followed by the routing configuration as received from the store.
 /// \param configVersion version of the view's routing configuration
 [[nodiscard]] std::string serializeStoreView(const StoreView &view, std::uint64_t configVersion,
-                                             const StoreViewQuery &question);
+                                             const StoreViewQuery &query);
 /// \returns the view in \a text, or nothing if it is malformed.
 [[nodiscard]] std::optional<StoreView> parseStoreView(std::string_view text);
 
@@ -49,7 +49,7 @@
 [[nodiscard]] bool isStale(const StoreView &view, std::uint64_t revision) noexcept;
 /// Records that an upstream was removed.
 /// \param knownRevision the store's revision up to which this router knows all changes
-void recordRemoval(StoreView &view, const std::string &name, std::uint64_t heard);
+void recordRemoval(StoreView &view, const std::string &name, std::uint64_t knownRevision);
 
 /// Size from which a view is large, and how many large views are sent at once. When twenty routers
 /// fetch half a megabyte each over one slow link, all of them time out. A refused router asks
@@ -64,7 +64,7 @@
     /// \returns whether a view of \a size bytes may be sent now.
     /// \param isTransferDone returns whether all its bytes were sent or its receiver has
     /// disconnected
-    bool tryBegin(std::size_t size, std::function<bool()> hasLeft);
+    bool tryBegin(std::size_t size, std::function<bool()> isTransferDone);
 
 private:
     std::vector<std::function<bool()>> transfers;
--- a/gateway/upstreamconnection.cpp
+++ b/gateway/upstreamconnection.cpp
@@ -13,23 +13,24 @@
              {[this](MessageHead head) {
                   this->keepAlive = head.keepAlive;
                   // Copied because the handler may abort this connection.
-                  const auto listener = this->handlers;
-                  this->skippingResponse = listener && !listener->onHead(std::move(head));
+                  const auto currentHandlers = this->handlers;
+                  this->skippingResponse =
+                      currentHandlers && !currentHandlers->onHead(std::move(head));
               },
               [this](std::string_view bytes) {
-                  const auto listener = this->handlers;
-                  if (!this->skippingResponse && listener) {
-                      listener->onBody(bytes);
+                  const auto currentHandlers = this->handlers;
+                  if (!this->skippingResponse && currentHandlers) {
+                      currentHandlers->onBody(bytes);
                   }
               }})
 {}
 
 void UpstreamConnection::connectAndSend(const Endpoint &endpoint, Milliseconds timeout,
-                                        std::string request, ResponseHandlers newEvents,
+                                        std::string request, ResponseHandlers newHandlers,
                                         bool isHead)
 {
     this->busy = true;
-    this->handlers = std::make_shared<ResponseHandlers>(std::move(newEvents));
+    this->handlers = std::make_shared<ResponseHandlers>(std::move(newHandlers));
     this->connect(
         endpoint, timeout,
         [weak = this->weak_from_this(), request = std::move(request), isHead](bool isConnected) {
@@ -78,23 +79,23 @@
     this->stream = std::make_shared<ByteStream>(std::move(this->connecting));
     const std::weak_ptr<UpstreamConnection> weak = this->weak_from_this();
     this->stream->start({[weak](std::string_view bytes) {
-                             if (const auto held = weak.lock()) {
-                                 held->onBytes(bytes);
+                             if (const auto self = weak.lock()) {
+                                 self->onBytes(bytes);
                              }
                          },
-                         [weak](bool inOrder) {
-                             if (const auto held = weak.lock()) {
-                                 held->onClosed(inOrder);
+                         [weak](bool orderly) {
+                             if (const auto self = weak.lock()) {
+                                 self->onClosed(orderly);
                              }
                          },
                          {}});
 }
 
-void UpstreamConnection::send(const std::string &request, ResponseHandlers newEvents, bool isHead)
+void UpstreamConnection::send(const std::string &request, ResponseHandlers newHandlers, bool isHead)
 {
     static_cast<void>(this->parser.beginNext());
     this->busy = true;
-    this->handlers = std::make_shared<ResponseHandlers>(std::move(newEvents));
+    this->handlers = std::make_shared<ResponseHandlers>(std::move(newHandlers));
     this->writeRequest(request, isHead);
 }
 
@@ -123,13 +124,13 @@
     this->handleParseState(this->parser.feed(bytes));
 }
 
-void UpstreamConnection::handleParseState(ParseState reached)
+void UpstreamConnection::handleParseState(ParseState parseState)
 {
     while (this->busy) {
-        if (reached == ParseState::Incomplete) {
+        if (parseState == ParseState::Incomplete) {
             return;
         }
-        if (reached != ParseState::Complete) {
+        if (parseState != ParseState::Complete) {
             this->finish(ResponseOutcome::Malformed);
             return;
         }
@@ -138,11 +139,11 @@
             return;
         }
         this->skippingResponse = false;
-        reached = this->parser.beginNext();
+        parseState = this->parser.beginNext();
     }
 }
 
-void UpstreamConnection::onClosed(bool inOrder)
+void UpstreamConnection::onClosed(bool orderly)
 {
     if (!this->busy) {
         return;
@@ -150,7 +151,7 @@
     const auto self = this->shared_from_this();
     // A response without a length ends with its connection, but only if that is closed in an
     // orderly way: after a reset something may be missing.
-    if (inOrder && !this->skippingResponse && this->parser.inBody()
+    if (orderly && !this->skippingResponse && this->parser.inBody()
         && this->parser.finish() == ParseState::Complete) {
         this->keepAlive = false;
         this->finish(ResponseOutcome::Complete);
@@ -159,13 +160,13 @@
     this->finish(ResponseOutcome::ConnectionLost);
 }
 
-void UpstreamConnection::finish(ResponseOutcome end)
+void UpstreamConnection::finish(ResponseOutcome outcome)
 {
     this->busy = false;
     this->idleStart = this->clock.now();
-    const auto listener = std::move(this->handlers);
+    const auto currentHandlers = std::move(this->handlers);
     this->handlers.reset();
-    const bool reusable = end == ResponseOutcome::Complete && this->keepAlive
+    const bool reusable = outcome == ResponseOutcome::Complete && this->keepAlive
                           && !this->parser.hasBufferedBytes() && this->stream
                           && this->stream->queuedBytes() == 0;
     if (!reusable) {
@@ -174,8 +175,8 @@
             this->stream->close();
         }
     }
-    if (listener && listener->onEnd) {
-        listener->onEnd(end);
+    if (currentHandlers && currentHandlers->onEnd) {
+        currentHandlers->onEnd(outcome);
     }
 }
 
--- a/gateway/upstreamconnection.h
+++ b/gateway/upstreamconnection.h
@@ -53,9 +53,9 @@
     void connect(const Endpoint &endpoint, Milliseconds timeout, std::function<void(bool)> done);
     /// Connects and then sends \a request.
     void connectAndSend(const Endpoint &endpoint, Milliseconds timeout, std::string request,
-                        ResponseHandlers events, bool isHead = false);
+                        ResponseHandlers handlers, bool isHead = false);
     /// Sends another request on the idle connection.
-    void send(const std::string &request, ResponseHandlers events, bool isHead = false);
+    void send(const std::string &request, ResponseHandlers handlers, bool isHead = false);
     /// Aborts the running request by closing the connection.
     void abort();
     void pauseReading();
@@ -70,9 +70,9 @@
     void onConnected();
     void writeRequest(const std::string &request, bool isHead);
     void onBytes(std::string_view bytes);
-    void onClosed(bool inOrder);
-    void handleParseState(ParseState reached);
-    void finish(ResponseOutcome end);
+    void onClosed(bool orderly);
+    void handleParseState(ParseState parseState);
+    void finish(ResponseOutcome outcome);
 
     asio::io_context &context;
     const Clock &clock;
--- a/gateway/upstreamregistry.cpp
+++ b/gateway/upstreamregistry.cpp
@@ -13,9 +13,9 @@
         const std::string &id = event.replica.id;
         switch (event.change) {
         case ReplicaChange::Removed:
-            if (const auto known = this->byId.find(id); known != this->byId.end()) {
-                this->idleConnections.erase(incarnationOf(known->second->replica));
-                this->byId.erase(known);
+            if (const auto existing = this->byId.find(id); existing != this->byId.end()) {
+                this->idleConnections.erase(incarnationOf(existing->second->replica));
+                this->byId.erase(existing);
             }
             break;
         case ReplicaChange::Restarted:
@@ -73,9 +73,9 @@
     return found == this->byId.end() ? nullptr : found->second;
 }
 
-UpstreamState *UpstreamRegistry::findIncarnation(std::uint64_t life) const
+UpstreamState *UpstreamRegistry::findIncarnation(std::uint64_t incarnation) const
 {
-    const auto found = this->byIncarnation.find(life);
+    const auto found = this->byIncarnation.find(incarnation);
     return found == this->byIncarnation.end() ? nullptr : found->second;
 }
 
@@ -86,12 +86,12 @@
     if (found == this->idleConnections.end()) {
         return nullptr;
     }
-    const Milliseconds allowed = mayRepeat ? maxIdleTime : maxIdleTimeAtMostOnce;
+    const Milliseconds maxIdle = mayRepeat ? maxIdleTime : maxIdleTimeAtMostOnce;
     auto &connections = found->second;
     while (!connections.empty()) {
         auto connection = std::move(connections.back());
         connections.pop_back();
-        if (connection->isReusable() && this->clock.now() - connection->idleSince() <= allowed) {
+        if (connection->isReusable() && this->clock.now() - connection->idleSince() <= maxIdle) {
             return connection;
         }
         if (connection->isReusable() && !mayRepeat) {
@@ -114,7 +114,7 @@
 void UpstreamRegistry::closeIdle()
 {
     const TimePoint now = this->clock.now();
-    for (auto &[life, connections] : this->idleConnections) {
+    for (auto &[incarnation, connections] : this->idleConnections) {
         std::erase_if(connections, [now](const std::shared_ptr<UpstreamConnection> &connection) {
             const bool stale =
                 !connection->isReusable() || now - connection->idleSince() > maxIdleTime;
--- a/gateway/upstreamregistry.h
+++ b/gateway/upstreamregistry.h
@@ -44,7 +44,8 @@
     /// alive after that.
     [[nodiscard]] std::shared_ptr<UpstreamState> find(const std::string &id) const;
     /// \returns the state of an incarnation of an upstream, or nullptr if it was removed.
-    [[nodiscard]] UpstreamState *findIncarnation(std::uint64_t life) const;
+    [[nodiscard]] UpstreamState *findIncarnation(std::uint64_t incarnation) const;
+    /// \returns all upstreams by id.
     [[nodiscard]] const std::map<std::string, std::shared_ptr<UpstreamState>> &all() const noexcept
     {
         return this->byId;
--- a/include/plantainswitch/base/fields.h
+++ b/include/plantainswitch/base/fields.h
@@ -25,12 +25,12 @@
     /// Reads a string of 1 to \a maxLength bytes. \a value keeps its content when the field is
     /// absent and not \a required.
     void read(std::string_view name, std::string &value, bool required = false,
-              std::size_t longest = 256);
+              std::size_t maxLength = 256);
     /// Reads an integer from \a min to \a max.
-    void read(std::string_view name, std::uint32_t &value, std::uint32_t least, std::uint32_t most,
+    void read(std::string_view name, std::uint32_t &value, std::uint32_t min, std::uint32_t max,
               bool required = false);
     /// Reads a number from \a min to \a max, with or without a fraction.
-    void read(std::string_view name, double &value, double least, double most);
+    void read(std::string_view name, double &value, double min, double max);
     /// Reads an IP address, a colon and a port.
     void read(std::string_view name, Endpoint &value, bool required);
     /// Reads true or false.
--- a/include/plantainswitch/base/sharedmap.h
+++ b/include/plantainswitch/base/sharedmap.h
@@ -110,11 +110,11 @@
     /// Inserts or replaces the value of \a key.
     void set(Key key, Value value)
     {
-        const bool known = this->contains(key);
-        Node fresh;
-        fresh.priority = priorityOf(key);
-        fresh.entry = std::make_shared<const Entry>(std::move(key), std::move(value));
-        this->root = known ? replaced(*this->root, fresh) : inserted(this->root, fresh);
+        const bool exists = this->contains(key);
+        Node newNode;
+        newNode.priority = priorityOf(key);
+        newNode.entry = std::make_shared<const Entry>(std::move(key), std::move(value));
+        this->root = exists ? replaced(*this->root, newNode) : inserted(this->root, newNode);
     }
 
     /// Removes \a key if present.
@@ -134,33 +134,33 @@
         NodePointer right;
     };
 
-    static NodePointer with(const Node &node, NodePointer left, NodePointer right)
+    static NodePointer withChildren(const Node &node, NodePointer left, NodePointer right)
     {
         return std::make_shared<const Node>(
             Node{node.entry, node.priority, std::move(left), std::move(right)});
     }
 
-    static NodePointer replaced(const Node &node, const Node &fresh)
+    static NodePointer replaced(const Node &node, const Node &newNode)
     {
-        if (fresh.entry->first < node.entry->first) {
-            return with(node, replaced(*node.left, fresh), node.right);
+        if (newNode.entry->first < node.entry->first) {
+            return withChildren(node, replaced(*node.left, newNode), node.right);
         }
-        if (node.entry->first < fresh.entry->first) {
-            return with(node, node.left, replaced(*node.right, fresh));
+        if (node.entry->first < newNode.entry->first) {
+            return withChildren(node, node.left, replaced(*node.right, newNode));
         }
-        return with(fresh, node.left, node.right);
+        return withChildren(newNode, node.left, node.right);
     }
 
-    static NodePointer inserted(const NodePointer &node, const Node &fresh)
+    static NodePointer inserted(const NodePointer &node, const Node &newNode)
     {
-        if (!node || fresh.priority > node->priority) {
-            auto [lower, higher] = split(node, fresh.entry->first);
-            return with(fresh, std::move(lower), std::move(higher));
+        if (!node || newNode.priority > node->priority) {
+            auto [lower, higher] = split(node, newNode.entry->first);
+            return withChildren(newNode, std::move(lower), std::move(higher));
         }
-        if (fresh.entry->first < node->entry->first) {
-            return with(*node, inserted(node->left, fresh), node->right);
+        if (newNode.entry->first < node->entry->first) {
+            return withChildren(*node, inserted(node->left, newNode), node->right);
         }
-        return with(*node, node->left, inserted(node->right, fresh));
+        return withChildren(*node, node->left, inserted(node->right, newNode));
     }
 
     /// \returns the entries below and above \a key, which is not in \a node.
@@ -171,33 +171,33 @@
         }
         if (node->entry->first < key) {
             auto [lower, higher] = split(node->right, key);
-            return {with(*node, node->left, std::move(lower)), std::move(higher)};
+            return {withChildren(*node, node->left, std::move(lower)), std::move(higher)};
         }
         auto [lower, higher] = split(node->left, key);
-        return {std::move(lower), with(*node, std::move(higher), node->right)};
+        return {std::move(lower), withChildren(*node, std::move(higher), node->right)};
     }
 
     static NodePointer erased(const Node &node, const Key &key)
     {
         if (key < node.entry->first) {
-            return with(node, erased(*node.left, key), node.right);
+            return withChildren(node, erased(*node.left, key), node.right);
         }
         if (node.entry->first < key) {
-            return with(node, node.left, erased(*node.right, key));
+            return withChildren(node, node.left, erased(*node.right, key));
         }
-        return joined(node.left, node.right);
+        return join(node.left, node.right);
     }
 
     /// \returns the union; every key of \a lower is below those of \a higher.
-    static NodePointer joined(const NodePointer &lower, const NodePointer &higher)
+    static NodePointer join(const NodePointer &lower, const NodePointer &higher)
     {
         if (!lower || !higher) {
             return lower ? lower : higher;
         }
         if (lower->priority > higher->priority) {
-            return with(*lower, lower->left, joined(lower->right, higher));
+            return withChildren(*lower, lower->left, join(lower->right, higher));
         }
-        return with(*higher, joined(lower, higher->left), higher->right);
+        return withChildren(*higher, join(lower, higher->left), higher->right);
     }
 
     NodePointer root;
--- a/include/plantainswitch/catalogue/table.h
+++ b/include/plantainswitch/catalogue/table.h
@@ -100,7 +100,8 @@
                                                  Reason &reason);
 
 /// \returns whether \a authorization permits \a dataCentre.
-[[nodiscard]] bool permits(const Authorization &admission, std::string_view place) noexcept;
+[[nodiscard]] bool permits(const Authorization &authorization,
+                           std::string_view dataCentre) noexcept;
 
 /// Compares in a time that depends on the lengths only.
 [[nodiscard]] bool equalInConstantTime(std::string_view first, std::string_view second) noexcept;
--- a/include/plantainswitch/claims/log.h
+++ b/include/plantainswitch/claims/log.h
@@ -143,7 +143,7 @@
 
 /// Queues a request; a repeat of the same nonce is queued once.
 /// \returns false when the queue is full.
-bool enqueueClaim(ClaimLog &log, const ClaimRequest &ask);
+bool enqueueClaim(ClaimLog &log, const ClaimRequest &request);
 
 /// Releases a claim that its owner has not used and never will: a waiting one is dropped, one that
 /// is or may be written gets a release entry.
@@ -151,11 +151,12 @@
 
 /// \returns the store call to make now, or nothing. Only one call may be outstanding:
 /// handleStoreResponse() must follow before the next.
-[[nodiscard]] std::optional<StoreCall> nextStoreCall(ClaimLog &log, TimePoint now, WallTime wall);
+[[nodiscard]] std::optional<StoreCall> nextStoreCall(ClaimLog &log, TimePoint now,
+                                                     WallTime wallTime);
 
 /// Handles the response to the outstanding call.
 /// \returns the replies to the requests that it decides.
-std::vector<ClaimReply> handleStoreResponse(ClaimLog &log, const StoreResponse &answer,
+std::vector<ClaimReply> handleStoreResponse(ClaimLog &log, const StoreResponse &response,
                                             TimePoint now);
 
 /// \returns the replies that the current view allows without a store call, such as after
--- a/include/plantainswitch/claims/ownclaims.h
+++ b/include/plantainswitch/claims/ownclaims.h
@@ -76,7 +76,7 @@
 /// Ends a claim in Abandoned, Done or Lost. A dispatched claim becomes Lost instead of Abandoned,
 /// unless \a notRun says that its upstream is known not to have run it.
 void endClaim(OwnClaims &own, std::uint64_t nonce, OwnClaimState state,
-              std::optional<CachedResponse> answer, TimePoint now, bool notRun = false);
+              std::optional<CachedResponse> response, TimePoint now, bool notRun = false);
 /// \returns the claim with that nonce.
 [[nodiscard]] OwnClaim ownClaimOf(const OwnClaims &own, std::uint64_t nonce);
 /// \returns the newest claim on \a id.
@@ -96,7 +96,7 @@
 public:
     void begin(const Claim &claim, TimePoint now);
     [[nodiscard]] bool dispatch(std::uint64_t nonce, TimePoint now);
-    void end(std::uint64_t nonce, OwnClaimState state, std::optional<CachedResponse> answer,
+    void end(std::uint64_t nonce, OwnClaimState state, std::optional<CachedResponse> response,
              TimePoint now, bool notRun = false);
     [[nodiscard]] OwnClaim find(std::uint64_t nonce) const;
     [[nodiscard]] OwnClaim newest(const ClaimId &id) const;
--- a/include/plantainswitch/claims/writerchoice.h
+++ b/include/plantainswitch/claims/writerchoice.h
@@ -41,7 +41,7 @@
 /// data centre is cut off.
 [[nodiscard]] std::vector<std::size_t> claimWritersOf(std::uint32_t slice,
                                                       const std::vector<WriterCandidate> &members,
-                                                      const std::string &ownPlace,
+                                                      const std::string &ownDataCentre,
                                                       const WriterLimits &limits);
 
 /// Writers that recently did not respond to this router, with the time until which they are
@@ -81,13 +81,13 @@
 /// store's condition decides.
 /// \param writers the slice's writers in order, by id hash
 /// \param self id hash of this router
-[[nodiscard]] ClaimRouteStep nextClaimRouteStep(ClaimRoute &route, SilentWriters &silent,
+[[nodiscard]] ClaimRouteStep nextClaimRouteStep(ClaimRoute &route, SilentWriters &silentWriters,
                                                 const std::vector<std::uint64_t> &writers,
                                                 std::uint64_t self, const WriterLimits &limits,
                                                 TimePoint now);
 
 /// Handles an acknowledgement of the writer tried last.
-void recordWriterAck(ClaimRoute &route, SilentWriters &silent);
+void recordWriterAck(ClaimRoute &route, SilentWriters &silentWriters);
 
 /// Handles the reply that the writer tried last can't reach the store.
 void recordWriterRefusal(ClaimRoute &route);
--- a/include/plantainswitch/limits/fairqueue.h
+++ b/include/plantainswitch/limits/fairqueue.h
@@ -82,7 +82,7 @@
                                     std::uint32_t weight);
 
 /// Queues a request, for at most the wait that it states.
-EnqueueResult enqueueRequest(FairQueue &queue, std::uint64_t router, const SlotRequest &ask,
+EnqueueResult enqueueRequest(FairQueue &queue, std::uint64_t router, const SlotRequest &request,
                              const QueueSettings &settings, TimePoint now);
 
 /// Removes the requests that have waited too long or whose router is gone. They were not granted
--- a/include/plantainswitch/membership/freshness.h
+++ b/include/plantainswitch/membership/freshness.h
@@ -33,7 +33,7 @@
 {
 public:
     /// Records that a response took \a elapsed longer than the time for which it was to be held.
-    void recordResponse(Duration took) noexcept;
+    void recordResponse(Duration elapsed) noexcept;
     /// Records that no response came in time.
     void recordTimeout() noexcept { ++this->timeouts; }
     /// \returns the time within which the next response must begin. Doubles with each timeout and
@@ -72,11 +72,11 @@
 
 /// \returns whether the confirmer replaces a long watch by a short one.
 [[nodiscard]] bool isConfirmationDue(const FreshnessPolicy &policy,
-                                     const ConfirmationState &situation) noexcept;
+                                     const ConfirmationState &state) noexcept;
 
 /// \returns whether the confirmer's response is overdue. Routers reach this state one after the
 /// other by rank, so that the first to get a response spares the rest their calls.
 [[nodiscard]] bool isConfirmationOverdue(const FreshnessPolicy &policy,
-                                         const ConfirmationState &situation) noexcept;
+                                         const ConfirmationState &state) noexcept;
 
 } // namespace plantainswitch
--- a/include/plantainswitch/membership/vmlist.h
+++ b/include/plantainswitch/membership/vmlist.h
@@ -63,9 +63,9 @@
 
 /// Accepts each record with a higher version than the known one. \returns the number of accepted
 /// records.
-std::size_t mergeRecords(VmList &list, const std::vector<VmRecord> &lines);
+std::size_t mergeRecords(VmList &list, const std::vector<VmRecord> &records);
 /// \returns the records with a version above \a version, gone ones included.
-[[nodiscard]] std::vector<VmRecord> recordsNewerThan(const VmList &list, std::uint64_t stamp);
+[[nodiscard]] std::vector<VmRecord> recordsNewerThan(const VmList &list, std::uint64_t version);
 /// \returns the VMs of the list that are not gone.
 [[nodiscard]] std::vector<Vm> vmsOf(const VmList &list);
 /// \returns a hash of the records that are not gone; equal lists have equal digests.
@@ -79,8 +79,8 @@
     std::size_t applyPoll(VmPollState &polls, const std::vector<Vm> &polled,
                           std::uint64_t wallMilliseconds);
     /// See mergeRecords().
-    std::size_t merge(const std::vector<VmRecord> &lines);
-    [[nodiscard]] std::vector<VmRecord> recordsSince(std::uint64_t stamp) const;
+    std::size_t merge(const std::vector<VmRecord> &records);
+    [[nodiscard]] std::vector<VmRecord> recordsSince(std::uint64_t version) const;
     [[nodiscard]] std::vector<Vm> vms() const;
     [[nodiscard]] std::uint64_t version() const;
     [[nodiscard]] std::uint32_t digest() const;
