--- a/include/plantainswitch/membership/watchers.h
+++ b/include/plantainswitch/membership/watchers.h
@@ -16,20 +16,20 @@
 inline constexpr std::size_t platformWatchersPerDataCentre = 3;
 
 /// \returns the watchers of a data centre among the \a active members, in order of preference.
-[[nodiscard]] std::vector<Heartbeat> watchersOf(std::string_view place,
+[[nodiscard]] std::vector<Heartbeat> watchersOf(std::string_view dataCentre,
                                                 const std::vector<Heartbeat> &active,
                                                 std::size_t count = platformWatchersPerDataCentre);
 
 /// \returns whether the router \a id watches the platform itself. A router that knows no other
 /// router of its data centre always does.
-[[nodiscard]] bool isWatcher(std::string_view id, std::string_view place,
+[[nodiscard]] bool isWatcher(std::string_view id, std::string_view dataCentre,
                              const std::vector<Heartbeat> &active);
 
 /// \returns the rank of the router \a id among the first \a count watchers of its data centre,
 /// starting at 0, or nothing if it is none of them. A router that knows no other router of its data
 /// centre has rank 0.
 [[nodiscard]] std::optional<std::size_t>
-watchRank(std::string_view id, std::string_view place, const std::vector<Heartbeat> &active,
+watchRank(std::string_view id, std::string_view dataCentre, const std::vector<Heartbeat> &active,
           std::size_t count = platformWatchersPerDataCentre);
 
 /// Time without news from any router that the platform serves, after which a router that isn't a
@@ -56,6 +56,6 @@
 
 /// \returns whether the router watches the platform. When a large fleet starts at once, its calls
 /// exceed the platform's rate limit; if all routers kept calling, none would finish reading a list.
-[[nodiscard]] bool shouldWatch(const WatchConditions &situation) noexcept;
+[[nodiscard]] bool shouldWatch(const WatchConditions &conditions) noexcept;
 
 } // namespace plantainswitch
--- a/include/plantainswitch/observe/timeline.h
+++ b/include/plantainswitch/observe/timeline.h
@@ -58,6 +58,6 @@
 
 /// \returns the timeline as text for an operator, one line per step: the time since the first one,
 /// the router and what happened; then the age of each piece of known state, and where to look next.
-[[nodiscard]] std::string formatTimeline(const RequestTimeline &story);
+[[nodiscard]] std::string formatTimeline(const RequestTimeline &timeline);
 
 } // namespace plantainswitch
--- a/include/plantainswitch/orders/lease.h
+++ b/include/plantainswitch/orders/lease.h
@@ -51,20 +51,20 @@
 };
 
 /// Handles a read of the lease object; nothing if it does not exist.
-void observeLease(LeaseState &watch, const std::optional<LeaseObject> &object,
+void observeLease(LeaseState &state, const std::optional<LeaseObject> &object,
                   const std::string &self, TimePoint now);
 /// \returns what this router has to write now.
-[[nodiscard]] LeaseDecision decideLease(const LeaseState &watch, const std::string &self,
+[[nodiscard]] LeaseDecision decideLease(const LeaseState &state, const std::string &self,
                                         const LeaseSettings &settings, TimePoint now);
 /// Handles a write that the platform confirmed.
 /// \param sentAt when the write was sent. The lease counts from then, because others may have seen
 /// it then.
-void recordLeaseWrite(LeaseState &watch, const std::string &self, std::uint64_t version,
+void recordLeaseWrite(LeaseState &state, const std::string &self, std::uint64_t version,
                       const LeaseSettings &settings, TimePoint sentAt);
 
 /// \returns the fencing token with which this router may send an order now; nothing when it holds
 /// no lease, or when engines don't check and a predecessor may still be sending.
-[[nodiscard]] std::optional<std::uint64_t> currentFencingToken(const LeaseState &watch,
+[[nodiscard]] std::optional<std::uint64_t> currentFencingToken(const LeaseState &state,
                                                                bool enginesCheck,
                                                                const LeaseSettings &settings,
                                                                TimePoint now);
--- a/include/plantainswitch/placement/chataffinity.h
+++ b/include/plantainswitch/placement/chataffinity.h
@@ -30,7 +30,7 @@
     /// \returns where \a chat ran, without marking it as used.
     [[nodiscard]] std::optional<ChatLocation> peek(std::uint64_t chat) const;
     /// \returns at most \a maxCount of the most recently used chats, the latest first.
-    [[nodiscard]] std::vector<std::uint64_t> mostRecent(std::size_t most) const;
+    [[nodiscard]] std::vector<std::uint64_t> mostRecent(std::size_t maxCount) const;
     /// Records that \a chat runs on \a upstream. \returns whether the chat is new or moved, and is
     /// remembered.
     bool record(std::uint64_t chat, UpstreamId upstream, std::size_t capacity);
--- a/include/plantainswitch/placement/chathints.h
+++ b/include/plantainswitch/placement/chathints.h
@@ -48,7 +48,7 @@
 void recordMovedChat(HintOutbox &outbox, std::uint64_t chat);
 
 /// Records that \a sender coordinates the shard too; it receives hints in return for a while.
-void recordPeerCoordinator(HintOutbox &outbox, const Endpoint &from, TimePoint now);
+void recordPeerCoordinator(HintOutbox &outbox, const Endpoint &sender, TimePoint now);
 
 /// \returns the targets of a shard's hints: the first router besides \a self in the shard's order,
 /// which coordinates it now or next, and the routers that sent hints lately.
@@ -59,14 +59,14 @@
 /// Removes one second's hints from \a outbox. A new target adds the most recently used chats, a few
 /// datagrams a second.
 [[nodiscard]] std::vector<ChatHints> takeNextHints(HintOutbox &outbox, ShardId shard,
-                                                   const ChatAffinityCache &memory,
+                                                   const ChatAffinityCache &affinity,
                                                    const std::vector<Endpoint> &targets);
 
 /// \returns hints on the most recently used chats, for a coordinator that is leaving.
-[[nodiscard]] std::vector<ChatHints> allHints(ShardId shard, const ChatAffinityCache &memory);
+[[nodiscard]] std::vector<ChatHints> allHints(ShardId shard, const ChatAffinityCache &affinity);
 
 /// Applies hints. They are preferences only: a grant looks the engines up in its own list of the
 /// shard's ready ones, within the load bound.
-void applyHints(ChatAffinityCache &memory, const ChatHints &hints, std::size_t capacity);
+void applyHints(ChatAffinityCache &affinity, const ChatHints &hints, std::size_t capacity);
 
 } // namespace plantainswitch
--- a/include/plantainswitch/placement/coordinator.h
+++ b/include/plantainswitch/placement/coordinator.h
@@ -116,13 +116,13 @@
 /// mean, rounded up. With \a conservative set it is rounded down, yet never below an even spread.
 /// The shares of two coordinators then exceed the bound of their sum by at most one request.
 [[nodiscard]] std::uint32_t loadBound(const LoadBoundSettings &settings, std::uint64_t total,
-                                      std::size_t engines, bool careful = false) noexcept;
+                                      std::size_t engines, bool conservative = false) noexcept;
 
 /// Grants a slot on an engine of the shard that stays within the bound.
 /// \param router incarnation hash of the requesting router
 /// \param request a slot request; a repeated request gets the same grant
-SlotReply grantSlot(ShardState &state, std::uint64_t router, const SlotRequest &ask,
-                    const GrantContext &view, TimePoint now);
+SlotReply grantSlot(ShardState &state, std::uint64_t router, const SlotRequest &request,
+                    const GrantContext &context, TimePoint now);
 
 /// Releases a slot; unknown slots are ignored.
 void releaseSlot(ShardState &state, const SlotKey &key);
@@ -132,7 +132,7 @@
 
 /// \returns whether a coordinator has to round the shard's bound down at \a now, see loadBound().
 /// \param isCoordinator whether this router is the shard's coordinator in its own view
-[[nodiscard]] bool needsConservativeBound(const ShardState &state, bool own,
+[[nodiscard]] bool needsConservativeBound(const ShardState &state, bool isCoordinator,
                                           TimePoint now) noexcept;
 
 /// Thread-safe state of the shards that this router coordinates.
@@ -141,8 +141,8 @@
 public:
     /// See grantSlot().
     /// \param isCoordinator whether this router is the shard's coordinator in its own view
-    SlotReply grant(std::uint64_t router, const SlotRequest &ask, GrantContext view, bool own,
-                    TimePoint now);
+    SlotReply grant(std::uint64_t router, const SlotRequest &request, GrantContext context,
+                    bool isCoordinator, TimePoint now);
     void release(std::uint64_t router, const SlotRelease &release);
     void releaseRouter(std::uint64_t router);
     /// Compares a router's digest with the slots known here. \returns whether the router's slot
--- a/include/plantainswitch/placement/plan.h
+++ b/include/plantainswitch/placement/plan.h
@@ -33,7 +33,7 @@
 /// \param authorization permitted data centres
 /// \param chat hash of workspace and chat
 /// \param reason receives why there is none
-[[nodiscard]] std::optional<PlacementPlan> planPlacement(const Authorization &admission,
+[[nodiscard]] std::optional<PlacementPlan> planPlacement(const Authorization &authorization,
                                                          std::uint64_t chat,
                                                          const UpstreamTable &upstreams,
                                                          TimePoint now, Reason &reason);
--- a/include/plantainswitch/placement/slotsync.h
+++ b/include/plantainswitch/placement/slotsync.h
@@ -29,6 +29,6 @@
 /// listed and counts unknown ones, even above the bound, because they run already.
 /// \param isComplete whether the holder itself sent the list. A leaving coordinator's list only
 /// adds, because the holder may have got other slots here meanwhile.
-void applySlotList(ShardState &state, const SlotList &list, bool whole, TimePoint now);
+void applySlotList(ShardState &state, const SlotList &list, bool isComplete, TimePoint now);
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/crashquarantine.h
+++ b/include/plantainswitch/routing/crashquarantine.h
@@ -59,11 +59,11 @@
 {
 public:
     /// Records that the connection of \a request, sent at \a sentAt, was lost at \a incarnation.
-    void recordBrokenAnswer(RequestFingerprint request, std::uint64_t life, TimePoint begunAt,
+    void recordBrokenAnswer(RequestFingerprint request, std::uint64_t incarnation, TimePoint sentAt,
                             TimePoint now);
     /// Records that \a incarnation was found down.
     /// \returns the crashes that this confirms, for the other routers.
-    std::vector<CrashReport> confirmCrash(std::uint64_t life, TimePoint now);
+    std::vector<CrashReport> confirmCrash(std::uint64_t incarnation, TimePoint now);
     /// Records a crash seen by this router or reported by another one.
     void recordCrash(const CrashReport &report, TimePoint now);
     /// Records that the request was answered, so that crashes before that are not attributed to it.
@@ -79,7 +79,7 @@
     /// nothing admits one itself later.
     /// \param isDesignated whether this router is the designated one
     /// \returns whether the request may run.
-    bool allowTrial(RequestFingerprint request, bool isFirst, TimePoint now);
+    bool allowTrial(RequestFingerprint request, bool isDesignated, TimePoint now);
 
 private:
     struct Suspect
--- a/include/plantainswitch/routing/enginecoordinator.h
+++ b/include/plantainswitch/routing/enginecoordinator.h
@@ -61,13 +61,14 @@
     /// Grants or denies one more request on an engine.
     /// \param reported requests on the engine that routers recently reported, used during
     /// takeoverPeriod
-    EngineGrantReply requestGrant(const EngineGrantRequest &question, std::uint32_t told,
+    EngineGrantReply requestGrant(const EngineGrantRequest &request, std::uint32_t reported,
                                   TimePoint now);
     /// Releases a grant; an unknown one is ignored.
-    void releaseGrant(const std::string &router, std::uint64_t number, std::uint64_t life);
+    void releaseGrant(const std::string &router, std::uint64_t requestId,
+                      std::uint64_t incarnation);
     /// Revokes the grants of \a router on the engine in excess of the \a reported ones, if they are
     /// older than orphanedGrantTimeout.
-    void reconcile(const std::string &router, std::uint64_t life, std::uint32_t told,
+    void reconcile(const std::string &router, std::uint64_t incarnation, std::uint32_t reported,
                    TimePoint now);
     /// Revokes all grants of a router that has left the fleet.
     void releaseRouter(const std::string &router);
--- a/include/plantainswitch/routing/health.h
+++ b/include/plantainswitch/routing/health.h
@@ -80,7 +80,7 @@
 /// the upstream. An engine that prefills long prompts doesn't respond to new requests for a while;
 /// if it were ejected for that, its load would move to the others at once, and they would time out
 /// next.
-[[nodiscard]] TimeoutCause classifyTimeout(TimePoint sentAt, TimePoint lastHeard) noexcept;
+[[nodiscard]] TimeoutCause classifyTimeout(TimePoint sentAt, TimePoint lastReceived) noexcept;
 
 /// Records a failed request.
 void recordFault(UpstreamHealth &health, UpstreamFault fault, TimePoint now);
--- a/include/plantainswitch/routing/leastsquares.h
+++ b/include/plantainswitch/routing/leastsquares.h
@@ -52,9 +52,9 @@
     }
 
     /// Limits a coefficient to the range from \a min to \a max.
-    void clamp(std::size_t index, double least, double most)
+    void clamp(std::size_t index, double min, double max)
     {
-        this->coefficients[index] = std::clamp(this->coefficients[index], least, most);
+        this->coefficients[index] = std::clamp(this->coefficients[index], min, max);
     }
 
     [[nodiscard]] double predict(const Vector &features) const noexcept
--- a/include/plantainswitch/routing/peerloads.h
+++ b/include/plantainswitch/routing/peerloads.h
@@ -75,7 +75,7 @@
     /// Removes a router that has left the fleet, with its loads.
     void removeRouter(const std::string &id);
     /// \returns the total load of the other routers on the upstream.
-    [[nodiscard]] Total totalAt(std::uint64_t life) const;
+    [[nodiscard]] Total totalAt(std::uint64_t incarnation) const;
     /// \returns the number of other routers with a known load.
     [[nodiscard]] std::size_t routerCount() const noexcept { return this->peers.size(); }
     /// \returns whether the last update of router \a id came from this incarnation of it.
--- a/include/plantainswitch/routing/prefixindex.h
+++ b/include/plantainswitch/routing/prefixindex.h
@@ -36,22 +36,23 @@
     {}
 
     /// Records that \a incarnation has processed the prompt with these prefix hashes.
-    void recordUse(std::span<const std::uint64_t> chain, std::uint64_t life, TimePoint now);
+    void recordUse(std::span<const std::uint64_t> prefixHashes, std::uint64_t incarnation,
+                   TimePoint now);
     /// Records that \a incarnation has used the shared prefix with hash \a prefix.
-    void recordSharedUse(std::uint64_t part, std::uint64_t life, TimePoint when);
+    void recordSharedUse(std::uint64_t prefix, std::uint64_t incarnation, TimePoint usedAt);
     /// \returns the shared prefixes used within cacheResidency, the most recent \a limit ones,
     /// newest first.
     [[nodiscard]] std::vector<PrefixUse> recentSharedUses(std::size_t most, TimePoint now) const;
     /// \returns the number of leading prompt parts that \a incarnation has used within
     /// cacheResidency. A prefix hash covers all parts up to its own, so the last one used stands
     /// for those before it.
-    [[nodiscard]] std::size_t cachedParts(std::span<const std::uint64_t> chain, std::uint64_t life,
-                                          TimePoint now) const;
+    [[nodiscard]] std::size_t cachedParts(std::span<const std::uint64_t> prefixHashes,
+                                          std::uint64_t incarnation, TimePoint now) const;
     /// \returns the number of incarnations on which \a prefix is tracked, including those that may
     /// have evicted it.
-    [[nodiscard]] std::size_t holderCount(std::uint64_t part) const;
+    [[nodiscard]] std::size_t holderCount(std::uint64_t prefix) const;
     /// \returns whether \a incarnation has used \a prefix within \a span.
-    [[nodiscard]] bool wasUsed(std::uint64_t part, std::uint64_t life, Duration span,
+    [[nodiscard]] bool wasUsed(std::uint64_t prefix, std::uint64_t incarnation, Duration span,
                                TimePoint now) const;
 
 private:
@@ -65,7 +66,7 @@
         bool isShared = false;
     };
 
-    void recordHolder(Holders &readers, std::uint64_t life, TimePoint when);
+    void recordHolder(Holders &entry, std::uint64_t incarnation, TimePoint usedAt);
 
     void trim();
 
--- a/include/plantainswitch/routing/prompt.h
+++ b/include/plantainswitch/routing/prompt.h
@@ -37,6 +37,6 @@
 /// \returns the hash of the prefix that other prompts may share, which is all parts but the last
 /// one; nothing if there is none.
 [[nodiscard]] std::optional<std::uint64_t>
-sharedPrefixOf(std::span<const std::uint64_t> chain) noexcept;
+sharedPrefixOf(std::span<const std::uint64_t> prefixHashes) noexcept;
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/reachability.h
+++ b/include/plantainswitch/routing/reachability.h
@@ -52,11 +52,11 @@
     /// Nothing arrives from there, and connection attempts fail.
     Unreachable,
 };
-[[nodiscard]] std::string_view nameOf(DataCentreReachability reach) noexcept;
+[[nodiscard]] std::string_view nameOf(DataCentreReachability reachability) noexcept;
 
 /// \returns the time without data after which a data centre counts as unresponsive.
 /// \param updateInterval expected time between two updates of any of its routers
-[[nodiscard]] Milliseconds unresponsiveTimeout(Duration updateGap) noexcept;
+[[nodiscard]] Milliseconds unresponsiveTimeout(Duration updateInterval) noexcept;
 
 /// \returns whether a data centre is reachable. This is decided for the data centre as a whole:
 /// each router sends few requests to each upstream and would time out on one after the other.
--- a/include/plantainswitch/routing/routercontacts.h
+++ b/include/plantainswitch/routing/routercontacts.h
@@ -100,9 +100,9 @@
 public:
     /// \param id name of this router
     /// \param dataCentre its data centre
-    RouterContacts(std::string id, std::string place)
+    RouterContacts(std::string id, std::string dataCentre)
         : id(std::move(id))
-        , dataCentre(std::move(place))
+        , dataCentre(std::move(dataCentre))
     {}
 
     /// Adds an address unless it is known.
@@ -114,7 +114,7 @@
     /// \returns its contact, to be updated with the contents.
     RouterContact &recordReceived(const Endpoint &address, TimePoint now);
     /// \returns the routers to which updates are to be sent now, and records that they are.
-    std::vector<UpdateGroup> takeDueGroups(BroadcastScope wave, TimePoint now);
+    std::vector<UpdateGroup> takeDueGroups(BroadcastScope scope, TimePoint now);
     /// Records that an update is sent to \a address now.
     void recordSent(const Endpoint &address, TimePoint now);
     /// Marks routers without recent updates as failed. \returns their ids.
@@ -156,8 +156,8 @@
     [[nodiscard]] TimePoint upstreamsConfirmedAt(std::uint64_t revision, TimePoint now) const;
     /// \returns the address of the coordinator of the engine \a incarnation in \a engineDataCentre;
     /// nothing if it is this router, which is not eligible if it \a isStopping.
-    [[nodiscard]] std::optional<Endpoint> coordinatorOf(std::uint64_t life,
-                                                        const std::string &enginePlace,
+    [[nodiscard]] std::optional<Endpoint> coordinatorOf(std::uint64_t incarnation,
+                                                        const std::string &engineDataCentre,
                                                         bool isStopping, TimePoint now) const;
     /// \returns a router with a newer configuration than \a configVersion or a newer store revision
     /// than \a storeRevision; nothing if there is none. Different values of \a turn give different
@@ -167,7 +167,7 @@
                                                                std::uint64_t turn,
                                                                TimePoint now) const;
     /// \returns up to \a limit live routers, starting further on with each \a turn.
-    [[nodiscard]] std::vector<Endpoint> aliveSubset(std::size_t most, std::uint64_t turn,
+    [[nodiscard]] std::vector<Endpoint> aliveSubset(std::size_t limit, std::uint64_t turn,
                                                     TimePoint now) const;
 
 private:
--- a/include/plantainswitch/routing/updatelog.h
+++ b/include/plantainswitch/routing/updatelog.h
@@ -23,7 +23,7 @@
     void removeBefore(TimePoint then);
 
     /// \returns up to \a limit prefixes recorded since \a since, the newest ones first.
-    [[nodiscard]] std::vector<PrefixReport> prefixesSince(TimePoint since, std::size_t most) const;
+    [[nodiscard]] std::vector<PrefixReport> prefixesSince(TimePoint since, std::size_t limit) const;
     /// \returns the crashes and answered suspects recorded since \a since.
     [[nodiscard]] CrashUpdate crashesSince(TimePoint since) const;
 
--- a/include/plantainswitch/upstreams/suspects.h
+++ b/include/plantainswitch/upstreams/suspects.h
@@ -60,7 +60,7 @@
 };
 
 /// Applies a crash or the completion of suspects, seen by this router or reported by another one.
-void applySuspectUpdate(Suspects &suspects, const SuspectUpdate &news, TimePoint now);
+void applySuspectUpdate(Suspects &suspects, const SuspectUpdate &update, TimePoint now);
 
 /// \returns the status of the request with \a fingerprint at \a now.
 [[nodiscard]] SuspectStatus suspectStatusOf(const Suspects &suspects, Fingerprint fingerprint,
@@ -85,7 +85,7 @@
 class SuspectTable
 {
 public:
-    void applyUpdate(const SuspectUpdate &news, TimePoint now);
+    void applyUpdate(const SuspectUpdate &update, TimePoint now);
     [[nodiscard]] SuspectStatus statusOf(Fingerprint fingerprint, TimePoint now) const;
     [[nodiscard]] std::vector<UpstreamId>
     excludedFor(Fingerprint fingerprint,
--- a/include/plantainswitch/upstreams/upstreams.h
+++ b/include/plantainswitch/upstreams/upstreams.h
@@ -61,7 +61,7 @@
     void markUnreachable(UpstreamId id, TimePoint now);
 
     /// \returns the upstreams of \a service in \a dataCentre that may get new requests at \a now.
-    [[nodiscard]] std::vector<Upstream> ready(std::string_view service, std::string_view place,
+    [[nodiscard]] std::vector<Upstream> ready(std::string_view service, std::string_view dataCentre,
                                               TimePoint now) const;
     /// \returns whether any upstream was ever known; until then the router is not ready.
     [[nodiscard]] bool wasPopulated() const;
--- a/net/httpclient.cpp
+++ b/net/httpclient.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr long keptConnections = 512;
+constexpr long maxCachedConnections = 512;
 
 void initialiseCurl()
 {
@@ -22,7 +22,7 @@
     static_cast<void>(once);
 }
 
-HttpOutcome endOf(CURLcode code, long requestBytes) noexcept
+HttpOutcome outcomeOf(CURLcode code, long requestBytes) noexcept
 {
     if (code == CURLE_OK) {
         return HttpOutcome::Complete;
@@ -47,11 +47,11 @@
     {
         initialiseCurl();
         this->multi = curl_multi_init();
-        curl_multi_setopt(this->multi, CURLMOPT_SOCKETFUNCTION, &State::socketChanged);
+        curl_multi_setopt(this->multi, CURLMOPT_SOCKETFUNCTION, &State::onSocketChanged);
         curl_multi_setopt(this->multi, CURLMOPT_SOCKETDATA, this);
-        curl_multi_setopt(this->multi, CURLMOPT_TIMERFUNCTION, &State::timerChanged);
+        curl_multi_setopt(this->multi, CURLMOPT_TIMERFUNCTION, &State::onTimerChanged);
         curl_multi_setopt(this->multi, CURLMOPT_TIMERDATA, this);
-        curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS, keptConnections);
+        curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS, maxCachedConnections);
     }
 
     ~State();
@@ -61,7 +61,7 @@
     void add(const std::shared_ptr<Exchange> &exchange, HttpEvents events);
     void remove(const std::shared_ptr<Exchange> &exchange);
     /// Lets libcurl continue after an exchange was unpaused.
-    void kick();
+    void continueTransfers();
 
     [[nodiscard]] const asio::strand<asio::io_context::executor_type> &executor() const noexcept
     {
@@ -75,17 +75,17 @@
             : descriptor(context, fd)
         {}
         asio::posix::stream_descriptor descriptor;
-        int wanted = 0;
+        int pollEvents = 0;
         bool reading = false;
         bool writing = false;
     };
     using SocketPointer = std::shared_ptr<Socket>;
 
-    static int socketChanged(CURL *easy, curl_socket_t fd, int what, void *self, void *known);
-    static int timerChanged(CURLM *multi, long milliseconds, void *self);
-    void watch(const SocketPointer &socket, curl_socket_t fd);
-    void act(curl_socket_t fd, int events);
-    void collect();
+    static int onSocketChanged(CURL *easy, curl_socket_t fd, int what, void *self, void *known);
+    static int onTimerChanged(CURLM *multi, long milliseconds, void *self);
+    void awaitSocket(const SocketPointer &socket, curl_socket_t fd);
+    void processSocket(curl_socket_t fd, int events);
+    void finishCompleted();
 
     asio::io_context &context;
     asio::strand<asio::io_context::executor_type> strand;
@@ -131,14 +131,14 @@
                 if (self->easy != nullptr && !self->finished && self->paused) {
                     self->paused = false;
                     curl_easy_pause(self->easy, CURLPAUSE_CONT);
-                    state->kick();
+                    state->continueTransfers();
                 }
             });
         }
     }
 
     /// Creates the easy handle and sets the exchange's callbacks.
-    void prepare(HttpEvents heard);
+    void prepare(HttpEvents newEvents);
     void complete(CURLcode code);
     void finish(HttpOutcome end, const std::string &detail)
     {
@@ -154,14 +154,14 @@
     }
 
     /// Drops the callbacks, whose owners own this exchange in turn.
-    void forgetEvents() { this->events = {}; }
+    void dropEvents() { this->events = {}; }
 
     [[nodiscard]] CURL *handle() const noexcept { return this->easy; }
 
 private:
-    static std::size_t headerCame(char *bytes, std::size_t size, std::size_t count, void *self);
-    static std::size_t dataCame(char *bytes, std::size_t size, std::size_t count, void *self);
-    void takeHeader(std::string_view line);
+    static std::size_t onHeaderLine(char *bytes, std::size_t size, std::size_t count, void *self);
+    static std::size_t onBodyData(char *bytes, std::size_t size, std::size_t count, void *self);
+    void parseHeaderLine(std::string_view line);
 
     std::weak_ptr<HttpClient::State> owner;
     HttpCall call;
@@ -171,12 +171,12 @@
     Headers headers;
     bool paused = false;
     bool finished = false;
-    bool headersHanded = false;
+    bool headersDelivered = false;
 };
 
-void Exchange::prepare(HttpEvents heard)
+void Exchange::prepare(HttpEvents newEvents)
 {
-    this->events = std::move(heard);
+    this->events = std::move(newEvents);
     this->easy = curl_easy_init();
     CURL *handle = this->easy;
     curl_easy_setopt(handle, CURLOPT_URL, this->call.url.c_str());
@@ -210,19 +210,19 @@
     }
     this->fields = curl_slist_append(this->fields, "Expect:");
     curl_easy_setopt(handle, CURLOPT_HTTPHEADER, this->fields);
-    curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, &Exchange::headerCame);
+    curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, &Exchange::onHeaderLine);
     curl_easy_setopt(handle, CURLOPT_HEADERDATA, this);
-    curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, &Exchange::dataCame);
+    curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, &Exchange::onBodyData);
     curl_easy_setopt(handle, CURLOPT_WRITEDATA, this);
 }
 
-std::size_t Exchange::headerCame(char *bytes, std::size_t size, std::size_t count, void *self)
+std::size_t Exchange::onHeaderLine(char *bytes, std::size_t size, std::size_t count, void *self)
 {
-    static_cast<Exchange *>(self)->takeHeader({bytes, size * count});
+    static_cast<Exchange *>(self)->parseHeaderLine({bytes, size * count});
     return size * count;
 }
 
-void Exchange::takeHeader(std::string_view line)
+void Exchange::parseHeaderLine(std::string_view line)
 {
     while (!line.empty() && (line.back() == '\r' || line.back() == '\n')) {
         line.remove_suffix(1);
@@ -231,8 +231,8 @@
         long status = 0;
         curl_easy_getinfo(this->easy, CURLINFO_RESPONSE_CODE, &status);
         constexpr long firstFinalStatus = 200;
-        if (status >= firstFinalStatus && !this->headersHanded) {
-            this->headersHanded = true;
+        if (status >= firstFinalStatus && !this->headersDelivered) {
+            this->headersDelivered = true;
             if (this->events.onHeaders) {
                 this->events.onHeaders(static_cast<int>(status), this->headers);
             }
@@ -252,7 +252,7 @@
     this->headers[name] = start == std::string_view::npos ? "" : std::string(line.substr(start));
 }
 
-std::size_t Exchange::dataCame(char *bytes, std::size_t size, std::size_t count, void *self)
+std::size_t Exchange::onBodyData(char *bytes, std::size_t size, std::size_t count, void *self)
 {
     auto *exchange = static_cast<Exchange *>(self);
     const std::size_t length = size * count;
@@ -267,14 +267,14 @@
 {
     long requestBytes = 0;
     curl_easy_getinfo(this->easy, CURLINFO_REQUEST_SIZE, &requestBytes);
-    this->finish(endOf(code, requestBytes), code == CURLE_OK ? "" : curl_easy_strerror(code));
+    this->finish(outcomeOf(code, requestBytes), code == CURLE_OK ? "" : curl_easy_strerror(code));
 }
 
 HttpClient::State::~State()
 {
     for (const auto &[easy, exchange] : this->exchanges) {
         curl_multi_remove_handle(this->multi, easy);
-        exchange->forgetEvents();
+        exchange->dropEvents();
     }
     this->exchanges.clear();
     curl_multi_setopt(this->multi, CURLMOPT_SOCKETFUNCTION, nullptr);
@@ -299,19 +299,19 @@
     }
 }
 
-void HttpClient::State::kick()
+void HttpClient::State::continueTransfers()
 {
-    this->act(CURL_SOCKET_TIMEOUT, 0);
+    this->processSocket(CURL_SOCKET_TIMEOUT, 0);
 }
 
-int HttpClient::State::socketChanged(CURL * /*easy*/, curl_socket_t fd, int what, void *self,
-                                     void * /*known*/)
+int HttpClient::State::onSocketChanged(CURL * /*easy*/, curl_socket_t fd, int what, void *self,
+                                       void * /*known*/)
 {
     auto *state = static_cast<State *>(self);
     const auto found = state->sockets.find(fd);
     if (what == CURL_POLL_REMOVE) {
         if (found != state->sockets.end()) {
-            found->second->wanted = 0;
+            found->second->pollEvents = 0;
             found->second->descriptor.release();
             state->sockets.erase(found);
         }
@@ -324,37 +324,37 @@
     } else {
         socket = found->second;
     }
-    socket->wanted = what;
-    state->watch(socket, fd);
+    socket->pollEvents = what;
+    state->awaitSocket(socket, fd);
     return 0;
 }
 
-void HttpClient::State::watch(const SocketPointer &socket, curl_socket_t fd)
+void HttpClient::State::awaitSocket(const SocketPointer &socket, curl_socket_t fd)
 {
     const std::weak_ptr<State> weak = this->weak_from_this();
     const auto ready = [weak, socket, fd](bool Socket::*flag, int events) {
         return [weak, socket, fd, flag, events](const asio::error_code &error) {
             (*socket).*flag = false;
             const auto state = weak.lock();
-            if (!state || error || socket->wanted == 0) {
+            if (!state || error || socket->pollEvents == 0) {
                 return;
             }
-            if ((socket->wanted & events) != 0) {
-                state->act(fd, events);
+            if ((socket->pollEvents & events) != 0) {
+                state->processSocket(fd, events);
             }
-            if (socket->wanted != 0) {
-                state->watch(socket, fd);
+            if (socket->pollEvents != 0) {
+                state->awaitSocket(socket, fd);
             }
         };
     };
     using Descriptor = asio::posix::stream_descriptor;
-    if ((socket->wanted & CURL_POLL_IN) != 0 && !socket->reading) {
+    if ((socket->pollEvents & CURL_POLL_IN) != 0 && !socket->reading) {
         socket->reading = true;
         socket->descriptor.async_wait(
             Descriptor::wait_read,
             asio::bind_executor(this->strand, ready(&Socket::reading, CURL_CSELECT_IN)));
     }
-    if ((socket->wanted & CURL_POLL_OUT) != 0 && !socket->writing) {
+    if ((socket->pollEvents & CURL_POLL_OUT) != 0 && !socket->writing) {
         socket->writing = true;
         socket->descriptor.async_wait(
             Descriptor::wait_write,
@@ -362,7 +362,7 @@
     }
 }
 
-int HttpClient::State::timerChanged(CURLM * /*multi*/, long milliseconds, void *self)
+int HttpClient::State::onTimerChanged(CURLM * /*multi*/, long milliseconds, void *self)
 {
     auto *state = static_cast<State *>(self);
     state->timer.cancel();
@@ -374,20 +374,20 @@
         state->strand, [weak = state->weak_from_this()](const asio::error_code &error) {
             const auto alive = weak.lock();
             if (alive && !error) {
-                alive->act(CURL_SOCKET_TIMEOUT, 0);
+                alive->processSocket(CURL_SOCKET_TIMEOUT, 0);
             }
         }));
     return 0;
 }
 
-void HttpClient::State::act(curl_socket_t fd, int events)
+void HttpClient::State::processSocket(curl_socket_t fd, int events)
 {
     int running = 0;
     curl_multi_socket_action(this->multi, fd, events, &running);
-    this->collect();
+    this->finishCompleted();
 }
 
-void HttpClient::State::collect()
+void HttpClient::State::finishCompleted()
 {
     int left = 0;
     while (CURLMsg *message = curl_multi_info_read(this->multi, &left)) {
@@ -427,28 +427,28 @@
 }
 
 std::shared_ptr<HttpExchange>
-HttpClient::fetch(HttpCall call, std::function<void(HttpResponse)> done, std::size_t largest)
+HttpClient::fetch(HttpCall call, std::function<void(HttpResponse)> done, std::size_t maxBytes)
 {
-    auto answer = std::make_shared<HttpResponse>();
+    auto response = std::make_shared<HttpResponse>();
     HttpEvents events;
-    events.onHeaders = [answer](int status, const Headers &headers) {
-        answer->status = status;
-        answer->headers = headers;
+    events.onHeaders = [response](int status, const Headers &headers) {
+        response->status = status;
+        response->headers = headers;
     };
     auto tooLarge = std::make_shared<bool>(false);
-    events.onData = [answer, tooLarge, largest](std::string_view bytes) {
-        if (answer->body.size() + bytes.size() > largest) {
+    events.onData = [response, tooLarge, maxBytes](std::string_view bytes) {
+        if (response->body.size() + bytes.size() > maxBytes) {
             *tooLarge = true;
             return true;
         }
-        answer->body.append(bytes);
+        response->body.append(bytes);
         return true;
     };
-    events.onEnd = [answer, tooLarge, done = std::move(done)](HttpOutcome end,
-                                                              const std::string &detail) {
-        answer->outcome = *tooLarge ? HttpOutcome::Broken : end;
-        answer->detail = *tooLarge ? "the answer is too large" : detail;
-        done(std::move(*answer));
+    events.onEnd = [response, tooLarge, done = std::move(done)](HttpOutcome end,
+                                                                const std::string &detail) {
+        response->outcome = *tooLarge ? HttpOutcome::Broken : end;
+        response->detail = *tooLarge ? "the answer is too large" : detail;
+        done(std::move(*response));
     };
     return this->start(std::move(call), std::move(events));
 }
--- a/net/httpclient.h
+++ b/net/httpclient.h
@@ -87,7 +87,7 @@
     /// Fetches a complete response and calls \a done once. A body above \a maxBytes counts as
     /// Broken.
     std::shared_ptr<HttpExchange> fetch(HttpCall call, std::function<void(HttpResponse)> done,
-                                        std::size_t largest = 16 << 20);
+                                        std::size_t maxBytes = 16 << 20);
 
     class State;
 
--- a/net/httpserver.cpp
+++ b/net/httpserver.cpp
@@ -11,25 +11,25 @@
 namespace {
 
 constexpr std::chrono::seconds idleTimeout{75};
-constexpr std::chrono::seconds slowCallerTimeout{30};
-constexpr std::chrono::hours longestAnswer{2};
+constexpr std::chrono::seconds writeTimeout{30};
+constexpr std::chrono::hours maxResponseTime{2};
 /// Two, so that RESTinio keeps reading during a response and notices when the caller disconnects.
-constexpr std::size_t pipelinedRequests = 2;
-constexpr std::size_t longestUrl = 4096;
-constexpr std::size_t longestHeaderName = 256;
-constexpr std::size_t longestHeaderValue = 8192;
-constexpr std::size_t mostHeaders = 100;
+constexpr std::size_t maxPipelinedRequests = 2;
+constexpr std::size_t maxUrlBytes = 4096;
+constexpr std::size_t maxHeaderNameBytes = 256;
+constexpr std::size_t maxHeaderValueBytes = 8192;
+constexpr std::size_t maxHeaders = 100;
 // RESTinio closes the connection without a response when one of its own limits is exceeded, and a
 // caller can't tell that from a request that may have run. Its limits are therefore above those
 // that describeOversizedPart() checks. Memory stays bounded: http_parser rejects every head above
 // 80 KB.
-constexpr std::size_t mostParsedBytes = HTTP_MAX_HEADER_SIZE;
-constexpr std::size_t mostParsedHeaders = 1000;
+constexpr std::size_t maxParsedBytes = HTTP_MAX_HEADER_SIZE;
+constexpr std::size_t maxParsedHeaders = 1000;
 
-class Reply;
+class Responder;
 
 /// State that the responders of a server share.
-struct ServerStanding
+struct ServerState
 {
     std::atomic<bool> closing = false;
     std::atomic<std::size_t> unanswered = 0;
@@ -39,29 +39,29 @@
 /// Counts as one pending response while it exists. A responder passes it to the last write of its
 /// response: a graceful stop that waited only until responses were complete in memory would end the
 /// process while a slow caller's last bytes are still buffered, and truncate the answer.
-class Unanswered
+class PendingResponse
 {
 public:
-    explicit Unanswered(std::shared_ptr<ServerStanding> standing)
-        : standing(std::move(standing))
+    explicit PendingResponse(std::shared_ptr<ServerState> serverState)
+        : serverState(std::move(serverState))
     {
-        ++this->standing->unanswered;
+        ++this->serverState->unanswered;
     }
-    ~Unanswered() { --this->standing->unanswered; }
-    Unanswered(const Unanswered &) = delete;
-    Unanswered &operator=(const Unanswered &) = delete;
+    ~PendingResponse() { --this->serverState->unanswered; }
+    PendingResponse(const PendingResponse &) = delete;
+    PendingResponse &operator=(const PendingResponse &) = delete;
 
 private:
-    std::shared_ptr<ServerStanding> standing;
+    std::shared_ptr<ServerState> serverState;
 };
 
 /// Responders in progress by connection, to notify them when the connection closes.
-class OpenReplies
+class OpenResponders
 {
 public:
-    void add(restinio::connection_id_t connection, const std::shared_ptr<Reply> &reply);
-    void remove(restinio::connection_id_t connection, const Reply *reply);
-    void closed(restinio::connection_id_t connection);
+    void add(restinio::connection_id_t connection, const std::shared_ptr<Responder> &responder);
+    void remove(restinio::connection_id_t connection, const Responder *responder);
+    void notifyClosed(restinio::connection_id_t connection);
     /// Number of open connections. RESTinio's own connection limiter belongs to its acceptor, which
     /// may be destroyed before the last connections; these would then decrement a counter in freed
     /// memory.
@@ -69,36 +69,36 @@
 
 private:
     std::mutex mutex;
-    std::unordered_multimap<restinio::connection_id_t, std::weak_ptr<Reply>> replies;
+    std::unordered_multimap<restinio::connection_id_t, std::weak_ptr<Responder>> responders;
 };
 
 class ConnectionListener
 {
 public:
-    ConnectionListener(asio::io_context &context, std::shared_ptr<OpenReplies> replies)
+    ConnectionListener(asio::io_context &context, std::shared_ptr<OpenResponders> responders)
         : context(context)
-        , replies(std::move(replies))
+        , responders(std::move(responders))
     {}
 
     // RESTinio calls the listener by this name.
     void state_changed(const restinio::connection_state::notice_t &notice) noexcept
     {
         if (std::holds_alternative<restinio::connection_state::closed_t>(notice.cause())) {
-            --this->replies->connections;
+            --this->responders->connections;
             // A failed write closes its connection inside write() itself, while the responder's
             // lock and its caller's are held; notifying there would deadlock the worker. The
             // notification is posted, so that it runs when no lock is held.
-            asio::post(this->context, [replies = this->replies, id = notice.connection_id()] {
-                replies->closed(id);
+            asio::post(this->context, [responders = this->responders, id = notice.connection_id()] {
+                responders->notifyClosed(id);
             });
         } else if (std::holds_alternative<restinio::connection_state::accepted_t>(notice.cause())) {
-            ++this->replies->connections;
+            ++this->responders->connections;
         }
     }
 
 private:
     asio::io_context &context;
-    std::shared_ptr<OpenReplies> replies;
+    std::shared_ptr<OpenResponders> responders;
 };
 
 struct ServerTraits : public restinio::default_traits_t
@@ -107,7 +107,7 @@
     using connection_state_listener_t = ConnectionListener;
 };
 
-using Streaming = restinio::response_builder_t<restinio::user_controlled_output_t>;
+using StreamingResponse = restinio::response_builder_t<restinio::user_controlled_output_t>;
 
 restinio::http_status_line_t statusLine(int status)
 {
@@ -115,25 +115,25 @@
             status < 400 ? "OK" : "Error"};
 }
 
-std::string chunkOf(const std::string &bytes)
+std::string encodeChunk(const std::string &bytes)
 {
     return fmt::format("{:x}\r\n{}\r\n", bytes.size(), bytes);
 }
 
-class Reply final : public HttpResponder, public std::enable_shared_from_this<Reply>
+class Responder final : public HttpResponder, public std::enable_shared_from_this<Responder>
 {
 public:
-    Reply(restinio::request_handle_t request, std::shared_ptr<OpenReplies> replies,
-          std::shared_ptr<ServerStanding> standing)
+    Responder(restinio::request_handle_t request, std::shared_ptr<OpenResponders> responders,
+              std::shared_ptr<ServerState> serverState)
         : request(std::move(request))
-        , replies(std::move(replies))
-        , standing(std::move(standing))
-        , unanswered(std::make_shared<Unanswered>(this->standing))
+        , responders(std::move(responders))
+        , serverState(std::move(serverState))
+        , unanswered(std::make_shared<PendingResponse>(this->serverState))
     {}
 
-    ~Reply() override
+    ~Responder() override
     {
-        this->replies->remove(this->request->connection_id(), this);
+        this->responders->remove(this->request->connection_id(), this);
         if (!this->finished && this->stream) {
             this->finishStream(false);
         }
@@ -150,7 +150,7 @@
         for (const auto &[name, value] : headers) {
             response.append_header(name, value);
         }
-        if (this->standing->closing) {
+        if (this->serverState->closing) {
             response.connection_close();
         }
         response.set_body(std::move(body));
@@ -179,7 +179,7 @@
         if (this->finished || !this->stream || chunk.empty()) {
             return;
         }
-        this->stream->append_body(chunkOf(chunk));
+        this->stream->append_body(encodeChunk(chunk));
         this->stream->flush([flushed = std::move(flushed)](const asio::error_code &error) {
             if (flushed) {
                 flushed(!error);
@@ -202,7 +202,7 @@
     void onDisconnect(std::function<void()> callback) override
     {
         const std::lock_guard lock(this->mutex);
-        this->gone = std::move(callback);
+        this->disconnectHandler = std::move(callback);
     }
 
     void connectionClosed()
@@ -211,9 +211,9 @@
         {
             const std::lock_guard lock(this->mutex);
             if (!this->finished) {
-                callback = std::move(this->gone);
+                callback = std::move(this->disconnectHandler);
             }
-            this->gone = nullptr;
+            this->disconnectHandler = nullptr;
         }
         if (callback) {
             callback();
@@ -221,58 +221,59 @@
     }
 
 private:
-    void finishStream(bool whole)
+    void finishStream(bool complete)
     {
         if (this->finished || !this->stream) {
             return;
         }
         this->finished = true;
-        if (whole) {
+        if (complete) {
             this->stream->append_body(std::string("0\r\n\r\n"));
         }
         this->stream->done([held = std::move(this->unanswered)](const auto &) {});
     }
 
     restinio::request_handle_t request;
-    std::shared_ptr<OpenReplies> replies;
-    std::shared_ptr<ServerStanding> standing;
-    std::shared_ptr<Unanswered> unanswered;
+    std::shared_ptr<OpenResponders> responders;
+    std::shared_ptr<ServerState> serverState;
+    std::shared_ptr<PendingResponse> unanswered;
     std::mutex mutex;
-    std::optional<Streaming> stream;
-    std::function<void()> gone;
+    std::optional<StreamingResponse> stream;
+    std::function<void()> disconnectHandler;
     bool finished = false;
 };
 
-void OpenReplies::add(restinio::connection_id_t connection, const std::shared_ptr<Reply> &reply)
+void OpenResponders::add(restinio::connection_id_t connection,
+                         const std::shared_ptr<Responder> &responder)
 {
     const std::lock_guard lock(this->mutex);
-    this->replies.emplace(connection, reply);
+    this->responders.emplace(connection, responder);
 }
 
-void OpenReplies::remove(restinio::connection_id_t connection, const Reply * /*reply*/)
+void OpenResponders::remove(restinio::connection_id_t connection, const Responder * /*reply*/)
 {
     const std::lock_guard lock(this->mutex);
-    auto [each, last] = this->replies.equal_range(connection);
+    auto [each, last] = this->responders.equal_range(connection);
     while (each != last) {
-        each = each->second.expired() ? this->replies.erase(each) : std::next(each);
+        each = each->second.expired() ? this->responders.erase(each) : std::next(each);
     }
 }
 
-void OpenReplies::closed(restinio::connection_id_t connection)
+void OpenResponders::notifyClosed(restinio::connection_id_t connection)
 {
-    std::vector<std::shared_ptr<Reply>> affected;
+    std::vector<std::shared_ptr<Responder>> affected;
     {
         const std::lock_guard lock(this->mutex);
-        const auto [first, last] = this->replies.equal_range(connection);
+        const auto [first, last] = this->responders.equal_range(connection);
         for (auto each = first; each != last; ++each) {
-            if (auto reply = each->second.lock()) {
-                affected.push_back(std::move(reply));
+            if (auto responder = each->second.lock()) {
+                affected.push_back(std::move(responder));
             }
         }
-        this->replies.erase(first, last);
+        this->responders.erase(first, last);
     }
-    for (const auto &reply : affected) {
-        reply->connectionClosed();
+    for (const auto &responder : affected) {
+        responder->connectionClosed();
     }
 }
 
@@ -286,27 +287,28 @@
 
 /// \returns a description of the part of the request's head that exceeds its limit, or an empty
 /// string.
-std::string excessOf(const restinio::http_request_header_t &head)
+std::string describeOversizedPart(const restinio::http_request_header_t &head)
 {
-    if (head.request_target().size() > longestUrl) {
-        return fmt::format("the path and query are longer than {} bytes", longestUrl);
+    if (head.request_target().size() > maxUrlBytes) {
+        return fmt::format("the path and query are longer than {} bytes", maxUrlBytes);
     }
-    if (head.fields_count() > mostHeaders) {
-        return fmt::format("{} headers, at most {}", head.fields_count(), mostHeaders);
+    if (head.fields_count() > maxHeaders) {
+        return fmt::format("{} headers, at most {}", head.fields_count(), maxHeaders);
     }
-    std::string excess;
-    head.for_each_field([&excess](const auto &field) {
-        if (field.name().size() > longestHeaderName) {
-            excess = fmt::format("a header's name is longer than {} bytes", longestHeaderName);
-        } else if (field.value().size() > longestHeaderValue) {
-            excess = fmt::format("the header {} is longer than {} bytes", field.name(),
-                                 longestHeaderValue);
+    std::string description;
+    head.for_each_field([&description](const auto &field) {
+        if (field.name().size() > maxHeaderNameBytes) {
+            description =
+                fmt::format("a header's name is longer than {} bytes", maxHeaderNameBytes);
+        } else if (field.value().size() > maxHeaderValueBytes) {
+            description = fmt::format("the header {} is longer than {} bytes", field.name(),
+                                      maxHeaderValueBytes);
         }
     });
-    return excess;
+    return description;
 }
 
-HttpRequest requestOf(const restinio::request_handle_t &request)
+HttpRequest toHttpRequest(const restinio::request_handle_t &request)
 {
     HttpRequest result;
     result.method = request->header().method().c_str();
@@ -324,7 +326,7 @@
         result.headers.emplace(lowerCase(field.name()), field.value());
     });
     result.body = request->body();
-    result.oversizedPart = excessOf(request->header());
+    result.oversizedPart = describeOversizedPart(request->header());
     return result;
 }
 
@@ -344,24 +346,24 @@
 
 struct HttpServer::State
 {
-    std::shared_ptr<OpenReplies> replies = std::make_shared<OpenReplies>();
-    std::shared_ptr<ServerStanding> standing = std::make_shared<ServerStanding>();
+    std::shared_ptr<OpenResponders> responders = std::make_shared<OpenResponders>();
+    std::shared_ptr<ServerState> serverState = std::make_shared<ServerState>();
     std::unique_ptr<restinio::http_server_t<ServerTraits>> server;
 };
 
 HttpServer::HttpServer(asio::io_context &context, HttpServerOptions options, HttpHandler handler)
     : state(std::make_unique<State>())
 {
-    const auto replies = this->state->replies;
-    const auto standing = this->state->standing;
-    auto onRequest = [replies, standing, most = options.maxConnections,
+    const auto responders = this->state->responders;
+    const auto serverState = this->state->serverState;
+    auto onRequest = [responders, serverState, maxConnections = options.maxConnections,
                       handler = std::move(handler)](const restinio::request_handle_t &request) {
-        auto reply = std::make_shared<Reply>(request, replies, standing);
-        standing->lastRequest = std::chrono::steady_clock::now().time_since_epoch().count();
-        replies->add(request->connection_id(), reply);
-        HttpRequest incoming = requestOf(request);
-        incoming.connectionLimitExceeded = replies->connections > most;
-        handler(std::move(incoming), std::move(reply));
+        auto responder = std::make_shared<Responder>(request, responders, serverState);
+        serverState->lastRequest = std::chrono::steady_clock::now().time_since_epoch().count();
+        responders->add(request->connection_id(), responder);
+        HttpRequest incoming = toHttpRequest(request);
+        incoming.connectionLimitExceeded = responders->connections > maxConnections;
+        handler(std::move(incoming), std::move(responder));
         return restinio::request_accepted();
     };
     this->state->server = std::make_unique<restinio::http_server_t<ServerTraits>>(
@@ -370,10 +372,11 @@
                 .port(options.port)
                 .request_handler(std::move(onRequest))
                 .read_next_http_message_timelimit(idleTimeout)
-                .write_http_response_timelimit(slowCallerTimeout)
-                .handle_request_timeout(longestAnswer)
-                .max_pipelined_requests(pipelinedRequests)
-                .connection_state_listener(std::make_shared<ConnectionListener>(context, replies))
+                .write_http_response_timelimit(writeTimeout)
+                .handle_request_timeout(maxResponseTime)
+                .max_pipelined_requests(maxPipelinedRequests)
+                .connection_state_listener(
+                    std::make_shared<ConnectionListener>(context, responders))
                 .socket_options_setter([](auto &socketOptions) {
                     socketOptions.set_option(asio::ip::tcp::no_delay{true});
                 })
@@ -381,10 +384,10 @@
                     acceptorOptions.set_option(asio::ip::tcp::acceptor::reuse_address{true});
                 })
                 .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}
-                                              .max_url_size(mostParsedBytes)
-                                              .max_field_name_size(mostParsedBytes)
-                                              .max_field_value_size(mostParsedBytes)
-                                              .max_field_count(mostParsedHeaders)
+                                              .max_url_size(maxParsedBytes)
+                                              .max_field_name_size(maxParsedBytes)
+                                              .max_field_value_size(maxParsedBytes)
+                                              .max_field_count(maxParsedHeaders)
                                               .max_body_size(options.maxBodyBytes));
         });
 }
@@ -398,18 +401,18 @@
 
 void HttpServer::closeAfterResponses()
 {
-    this->state->standing->closing = true;
+    this->state->serverState->closing = true;
 }
 
 std::size_t HttpServer::pendingResponses() const noexcept
 {
-    return this->state->standing->unanswered;
+    return this->state->serverState->unanswered;
 }
 
 std::chrono::steady_clock::time_point HttpServer::lastRequestTime() const noexcept
 {
     using Clock = std::chrono::steady_clock;
-    return Clock::time_point(Clock::duration(this->state->standing->lastRequest.load()));
+    return Clock::time_point(Clock::duration(this->state->serverState->lastRequest.load()));
 }
 
 void HttpServer::stopAccepting()
--- a/net/platformclient.cpp
+++ b/net/platformclient.cpp
@@ -18,47 +18,47 @@
 constexpr int statusConflict = 409;
 constexpr int firstServerError = 500;
 
-std::string textOf(const nlohmann::json &json, const char *name)
+std::string stringField(const nlohmann::json &json, const char *name)
 {
     const auto found = json.find(name);
     return found != json.end() && found->is_string() ? found->get<std::string>() : std::string{};
 }
 
-std::optional<nlohmann::json> documentOf(std::string_view text)
+std::optional<nlohmann::json> parseDocument(std::string_view text)
 {
     std::vector<Fault> faults;
     return parseJson(text, faults);
 }
 
-bool isAddress(const std::string &host)
+bool isIpAddress(const std::string &host)
 {
     asio::error_code error;
     static_cast<void>(asio::ip::make_address(host, error));
     return !error;
 }
 
-PlatformResponse answerOf(const HttpResponse &http)
+PlatformResponse toPlatformResponse(const HttpResponse &http)
 {
-    PlatformResponse answer;
-    answer.detail = http.detail;
+    PlatformResponse response;
+    response.detail = http.detail;
     if (http.outcome != HttpOutcome::Complete) {
-        answer.status = http.outcome == HttpOutcome::NotConnected ? PlatformStatus::Rejected
-                                                                  : PlatformStatus::Unknown;
-        return answer;
+        response.status = http.outcome == HttpOutcome::NotConnected ? PlatformStatus::Rejected
+                                                                    : PlatformStatus::Unknown;
+        return response;
     }
-    answer.object = parseObject(documentOf(http.body).value_or(nullptr));
+    response.object = parseObject(parseDocument(http.body).value_or(nullptr));
     if (http.status == statusOk) {
-        answer.status = answer.object ? PlatformStatus::Ok : PlatformStatus::Unknown;
+        response.status = response.object ? PlatformStatus::Ok : PlatformStatus::Unknown;
     } else if (http.status == statusNotFound) {
-        answer.status = PlatformStatus::NotFound;
+        response.status = PlatformStatus::NotFound;
     } else if (http.status == statusConflict) {
-        answer.status = PlatformStatus::Conflict;
+        response.status = PlatformStatus::Conflict;
     } else if (http.status >= firstServerError) {
-        answer.status = PlatformStatus::Unknown;
+        response.status = PlatformStatus::Unknown;
     } else {
-        answer.status = PlatformStatus::Rejected;
+        response.status = PlatformStatus::Rejected;
     }
-    return answer;
+    return response;
 }
 
 } // namespace
@@ -69,8 +69,8 @@
         return std::nullopt;
     }
     PlatformObject object;
-    object.kind = textOf(json, "kind");
-    object.name = textOf(json, "name");
+    object.kind = stringField(json, "kind");
+    object.name = stringField(json, "name");
     if (object.kind.empty() || object.name.empty()) {
         return std::nullopt;
     }
@@ -86,22 +86,22 @@
     if (!json.is_object()) {
         return std::nullopt;
     }
-    const auto role = vmRoleOf(textOf(json, "role"));
+    const auto role = vmRoleOf(stringField(json, "role"));
     if (!role || !json.contains("port") || !json["port"].is_number_unsigned()) {
         return std::nullopt;
     }
     const auto port = json["port"].get<std::uint64_t>();
     Vm vm;
-    vm.id = textOf(json, "id");
+    vm.id = stringField(json, "id");
     vm.role = *role;
-    vm.service = textOf(json, "service");
-    vm.dataCentre = textOf(json, "place");
-    vm.endpoint = {textOf(json, "host"), static_cast<std::uint16_t>(port)};
+    vm.service = stringField(json, "service");
+    vm.dataCentre = stringField(json, "place");
+    vm.endpoint = {stringField(json, "host"), static_cast<std::uint16_t>(port)};
     // A port truncated to 16 bits would send requests elsewhere, and a host name in place of an IP
     // address would end the router at its next membership tick. Such a VM can't be reached and is
     // skipped.
     if (vm.id.empty() || port == 0 || port > std::numeric_limits<std::uint16_t>::max()
-        || !isAddress(vm.endpoint.host)) {
+        || !isIpAddress(vm.endpoint.host)) {
         return std::nullopt;
     }
     vm.leaving = json.contains("leaving") && json["leaving"] == true;
@@ -113,7 +113,7 @@
 
 std::optional<PlatformChanges> parseChanges(std::string_view text)
 {
-    const auto json = documentOf(text);
+    const auto json = parseDocument(text);
     if (!json || !json->is_object() || !json->contains("version")
         || !(*json)["version"].is_number_unsigned() || !json->contains("objects")
         || !(*json)["objects"].is_array()) {
@@ -133,7 +133,7 @@
 
 std::optional<std::vector<Vm>> parseVmList(std::string_view text)
 {
-    const auto json = documentOf(text);
+    const auto json = parseDocument(text);
     if (!json || !json->is_array()) {
         return std::nullopt;
     }
@@ -177,9 +177,10 @@
 
 void PlatformClient::get(const std::string &kind, const std::string &name, ResponseCallback done)
 {
-    this->http.fetch(
-        this->callTo("GET", "/objects/" + kind + "/" + name),
-        [done = std::move(done)](const HttpResponse &answer) { done(answerOf(answer)); });
+    this->http.fetch(this->callTo("GET", "/objects/" + kind + "/" + name),
+                     [done = std::move(done)](const HttpResponse &response) {
+                         done(toPlatformResponse(response));
+                     });
 }
 
 void PlatformClient::put(const std::string &kind, const std::string &name, std::uint64_t ifVersion,
@@ -192,8 +193,8 @@
     // A silent resend of a write whose response was lost would meet the effect of its first send
     // and report a conflict with itself.
     call.freshConnection = true;
-    this->http.fetch(std::move(call), [done = std::move(done)](const HttpResponse &answer) {
-        done(answerOf(answer));
+    this->http.fetch(std::move(call), [done = std::move(done)](const HttpResponse &response) {
+        done(toPlatformResponse(response));
     });
 }
 
@@ -203,8 +204,8 @@
     HttpCall call = this->callTo("DELETE", "/objects/" + kind + "/" + name);
     call.headers["if-version"] = std::to_string(ifVersion);
     call.freshConnection = true;
-    this->http.fetch(std::move(call), [done = std::move(done)](const HttpResponse &answer) {
-        done(answerOf(answer));
+    this->http.fetch(std::move(call), [done = std::move(done)](const HttpResponse &response) {
+        done(toPlatformResponse(response));
     });
 }
 
@@ -216,34 +217,34 @@
         this->callTo("GET", "/objects?kinds=" + kinds + "&after=" + std::to_string(after)
                                 + "&wait=" + std::to_string(wait.count()));
     call.totalTimeout = callTimeout + wait;
-    this->http.fetch(std::move(call), [done = std::move(done)](const HttpResponse &answer) {
-        const bool whole = answer.outcome == HttpOutcome::Complete && answer.status == statusOk;
-        done(whole ? parseChanges(answer.body) : std::nullopt);
+    this->http.fetch(std::move(call), [done = std::move(done)](const HttpResponse &response) {
+        const bool whole = response.outcome == HttpOutcome::Complete && response.status == statusOk;
+        done(whole ? parseChanges(response.body) : std::nullopt);
     });
 }
 
-VmListPointer VmListReader::read(const HttpResponse &answer)
+VmListPointer VmListReader::read(const HttpResponse &response)
 {
-    if (answer.outcome != HttpOutcome::Complete) {
+    if (response.outcome != HttpOutcome::Complete) {
         return nullptr;
     }
-    if (answer.status == statusNotModified) {
+    if (response.status == statusNotModified) {
         return this->last;
     }
-    if (answer.status != statusOk) {
+    if (response.status != statusOk) {
         return nullptr;
     }
-    const std::uint64_t hash = hashOf(answer.body);
+    const std::uint64_t hash = hashOf(response.body);
     if (this->last == nullptr || hash != this->lastHash) {
-        auto vms = parseVmList(answer.body);
+        auto vms = parseVmList(response.body);
         if (!vms) {
             return nullptr;
         }
         this->last = std::make_shared<const std::vector<Vm>>(std::move(*vms));
         this->lastHash = hash;
     }
-    const auto tag = answer.headers.find("etag");
-    this->lastEtag = tag == answer.headers.end() ? std::string{} : tag->second;
+    const auto etag = response.headers.find("etag");
+    this->lastEtag = etag == response.headers.end() ? std::string{} : etag->second;
     return this->last;
 }
 
@@ -254,8 +255,8 @@
         call.headers["if-none-match"] = this->vmList->etag();
     }
     this->http.fetch(std::move(call),
-                     [reader = this->vmList, done = std::move(done)](const HttpResponse &answer) {
-                         done(reader->read(answer));
+                     [reader = this->vmList, done = std::move(done)](const HttpResponse &response) {
+                         done(reader->read(response));
                      });
 }
 
--- a/net/platformclient.h
+++ b/net/platformclient.h
@@ -68,7 +68,7 @@
     /// be empty.
     [[nodiscard]] const std::string &etag() const noexcept { return this->lastEtag; }
     /// \returns the list in \a response, or null if there is none.
-    VmListPointer read(const HttpResponse &answer);
+    VmListPointer read(const HttpResponse &response);
 
 private:
     std::string lastEtag;
--- a/src/base/fields.cpp
+++ b/src/base/fields.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t longestExcerpt = 60;
+constexpr std::size_t maxExcerptLength = 60;
 
 const nlohmann::json &emptyObject()
 {
@@ -17,8 +17,8 @@
 std::string excerpt(const nlohmann::json &json)
 {
     std::string text = json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    if (text.size() > longestExcerpt) {
-        text.resize(longestExcerpt);
+    if (text.size() > maxExcerptLength) {
+        text.resize(maxExcerptLength);
         text += "...";
     }
     return text;
@@ -64,26 +64,26 @@
 }
 
 void FieldReader::read(std::string_view name, std::string &value, bool required,
-                       std::size_t longest)
+                       std::size_t maxLength)
 {
-    const std::string allowed = "a string of 1 to " + std::to_string(longest) + " bytes";
+    const std::string allowed = "a string of 1 to " + std::to_string(maxLength) + " bytes";
     const nlohmann::json *json = this->find(name, required, allowed);
     if (json == nullptr) {
         return;
     }
     const auto *text = json->get_ptr<const std::string *>();
-    if (text == nullptr || text->empty() || text->size() > longest) {
+    if (text == nullptr || text->empty() || text->size() > maxLength) {
         this->fault(name, *json, allowed);
         return;
     }
     value = *text;
 }
 
-void FieldReader::read(std::string_view name, std::uint32_t &value, std::uint32_t least,
-                       std::uint32_t most, bool required)
+void FieldReader::read(std::string_view name, std::uint32_t &value, std::uint32_t min,
+                       std::uint32_t max, bool required)
 {
     const std::string allowed =
-        "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+        "a whole number from " + std::to_string(min) + " to " + std::to_string(max);
     const nlohmann::json *json = this->find(name, required, allowed);
     if (json == nullptr) {
         return;
@@ -93,22 +93,22 @@
         return;
     }
     const auto number = json->get<std::uint64_t>();
-    if (number < least || number > most) {
+    if (number < min || number > max) {
         this->fault(name, *json, allowed);
         return;
     }
     value = static_cast<std::uint32_t>(number);
 }
 
-void FieldReader::read(std::string_view name, double &value, double least, double most)
+void FieldReader::read(std::string_view name, double &value, double min, double max)
 {
     const nlohmann::json *json = this->find(name, false, "a number");
     if (json == nullptr) {
         return;
     }
-    if (!json->is_number() || json->get<double>() < least || json->get<double>() > most) {
+    if (!json->is_number() || json->get<double>() < min || json->get<double>() > max) {
         this->fault(name, *json,
-                    "a number from " + std::to_string(least) + " to " + std::to_string(most));
+                    "a number from " + std::to_string(min) + " to " + std::to_string(max));
         return;
     }
     value = json->get<double>();
@@ -150,12 +150,12 @@
     if (json == nullptr) {
         return;
     }
-    const bool whole =
+    const bool isValid =
         json->is_array() && (!required || !json->empty())
         && std::all_of(json->begin(), json->end(), [](const nlohmann::json &item) {
                return item.is_string() && !item.get_ref<const std::string &>().empty();
            });
-    if (!whole) {
+    if (!isValid) {
         this->fault(name, *json, std::string(allowed));
         return;
     }
--- a/src/base/lockorder.cpp
+++ b/src/base/lockorder.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-thread_local int highestHeld = 0;
+thread_local int highestHeldRank = 0;
 
 } // namespace
 
 void RankedMutex::lock()
 {
-    assert(highestHeld < static_cast<int>(this->rank) && "locks taken out of order");
+    assert(highestHeldRank < static_cast<int>(this->rank) && "locks taken out of order");
     this->mutex.lock();
-    this->previous = highestHeld;
-    highestHeld = static_cast<int>(this->rank);
+    this->previous = highestHeldRank;
+    highestHeldRank = static_cast<int>(this->rank);
 }
 
 void RankedMutex::unlock()
 {
-    highestHeld = this->previous;
+    highestHeldRank = this->previous;
     this->mutex.unlock();
 }
 
--- a/src/catalogue/parse.cpp
+++ b/src/catalogue/parse.cpp
@@ -15,17 +15,17 @@
                                std::string_view{"service"}};
 constexpr std::array typeNames{std::string_view{"model"}, std::string_view{"plain"}};
 
-constexpr std::uint32_t mostRequestsPerSecond = 1'000'000;
-constexpr std::uint32_t mostInFlight = 1'000'000;
-constexpr std::uint32_t mostWeight = 1000;
-constexpr std::uint32_t mostPriority = 9;
-constexpr std::uint32_t mostCapacity = 4096;
-constexpr std::uint32_t mostShards = 256;
-constexpr std::uint32_t mostQueueMilliseconds = 60'000;
-constexpr std::uint32_t mostLoadsAtOnce = 1000;
+constexpr std::uint32_t maxRequestsPerSecond = 1'000'000;
+constexpr std::uint32_t maxInFlightRequests = 1'000'000;
+constexpr std::uint32_t maxWeight = 1000;
+constexpr std::uint32_t maxPriority = 9;
+constexpr std::uint32_t maxCapacity = 4096;
+constexpr std::uint32_t maxShards = 256;
+constexpr std::uint32_t maxQueueMilliseconds = 60'000;
+constexpr std::uint32_t maxLoadsAtOnce = 1000;
 /// At 100 no engine could ever receive an order.
-constexpr std::uint32_t mostReadyPercent = 99;
-constexpr std::uint32_t mostStaleSeconds = 7 * 24 * 3600;
+constexpr std::uint32_t maxReadyPercent = 99;
+constexpr std::uint32_t maxStaleLimitSeconds = 7 * 24 * 3600;
 
 /// Scans a document for what the parsed document no longer shows: duplicate fields and excessive
 /// depth.
@@ -39,8 +39,8 @@
     bool number_float(number_float_t /*value*/, const string_t & /*text*/) override { return true; }
     bool string(string_t & /*value*/) override { return true; }
     bool binary(binary_t & /*value*/) override { return true; }
-    bool start_object(std::size_t /*size*/) override { return this->enter(); }
-    bool start_array(std::size_t /*size*/) override { return this->enter(); }
+    bool start_object(std::size_t /*size*/) override { return this->enterLevel(); }
+    bool start_array(std::size_t /*size*/) override { return this->enterLevel(); }
     bool key(string_t &name) override
     {
         this->levels.back().push_back(std::move(name));
@@ -50,12 +50,12 @@
     {
         std::vector<std::string> &names = this->levels.back();
         std::sort(names.begin(), names.end());
-        const auto twin = std::adjacent_find(names.begin(), names.end());
-        if (twin != names.end()) {
-            this->twice = *twin;
+        const auto duplicate = std::adjacent_find(names.begin(), names.end());
+        if (duplicate != names.end()) {
+            this->duplicateField = *duplicate;
         }
         this->levels.pop_back();
-        return !this->twice;
+        return !this->duplicateField;
     }
     bool end_array() override
     {
@@ -68,11 +68,11 @@
         return false;
     }
 
-    std::optional<std::string> twice;
+    std::optional<std::string> duplicateField;
     bool tooDeep = false;
 
 private:
-    bool enter()
+    bool enterLevel()
     {
         this->levels.emplace_back();
         this->tooDeep = this->levels.size() > maxJsonDepth;
@@ -88,7 +88,7 @@
     DataClass body;
     fields.read("owner", body.owner, true);
     fields.read("places", body.dataCentres, true);
-    fields.read("maxStaleSeconds", body.maxStaleSeconds, 0, mostStaleSeconds);
+    fields.read("maxStaleSeconds", body.maxStaleSeconds, 0, maxStaleLimitSeconds);
     return body;
 }
 
@@ -99,10 +99,10 @@
     fields.read("dataClass", body.dataClass, true);
     fields.read("token", body.token, true);
     fields.read("services", body.services, true);
-    fields.read("requestsPerSecond", body.requestsPerSecond, 0, mostRequestsPerSecond);
-    fields.read("maxInFlight", body.maxInFlight, 0, mostInFlight);
-    fields.read("weight", body.weight, 1, mostWeight);
-    fields.read("priority", body.priority, 0, mostPriority);
+    fields.read("requestsPerSecond", body.requestsPerSecond, 0, maxRequestsPerSecond);
+    fields.read("maxInFlight", body.maxInFlight, 0, maxInFlightRequests);
+    fields.read("weight", body.weight, 1, maxWeight);
+    fields.read("priority", body.priority, 0, maxPriority);
     return body;
 }
 
@@ -115,8 +115,8 @@
     fields.read("adapter", orders.setup.adapter);
     fields.read("role", orders.setup.role);
     fields.read("checkFencing", orders.checkFencing);
-    fields.read("loadsAtOnce", orders.maxConcurrentLoads, 1, mostLoadsAtOnce);
-    fields.read("readyPercent", orders.minReadyPercent, 0, mostReadyPercent);
+    fields.read("loadsAtOnce", orders.maxConcurrentLoads, 1, maxLoadsAtOnce);
+    fields.read("readyPercent", orders.minReadyPercent, 0, maxReadyPercent);
     fields.finish();
     return orders;
 }
@@ -129,9 +129,9 @@
     fields.read("dataClass", body.dataClass, true);
     fields.readName("type", type, {typeNames.begin(), typeNames.end()});
     body.type = static_cast<ServiceType>(type);
-    fields.read("engineCapacity", body.engineCapacity, 1, mostCapacity);
-    fields.read("shards", body.shards, 1, mostShards);
-    fields.read("queueMilliseconds", body.queueMilliseconds, 0, mostQueueMilliseconds);
+    fields.read("engineCapacity", body.engineCapacity, 1, maxCapacity);
+    fields.read("shards", body.shards, 1, maxShards);
+    fields.read("queueMilliseconds", body.queueMilliseconds, 0, maxQueueMilliseconds);
     body.engines = readEngineOrders(fields, faults);
     return body;
 }
@@ -244,19 +244,20 @@
 std::optional<nlohmann::json> parseJson(std::string_view text, std::vector<Fault> &faults)
 {
     DocumentCheck check;
-    const bool whole = nlohmann::json::sax_parse(text, &check);
+    const bool isValid = nlohmann::json::sax_parse(text, &check);
     if (check.tooDeep) {
         faults.push_back(
             {"/", "a deeper document", "at most " + std::to_string(maxJsonDepth) + " levels"});
         return std::nullopt;
     }
-    if (check.twice) {
-        constexpr std::size_t longestExcerpt = 60;
-        faults.push_back({"/", "the field \"" + check.twice->substr(0, longestExcerpt) + "\" twice",
-                          "each field once"});
+    if (check.duplicateField) {
+        constexpr std::size_t maxExcerptLength = 60;
+        faults.push_back(
+            {"/", "the field \"" + check.duplicateField->substr(0, maxExcerptLength) + "\" twice",
+             "each field once"});
         return std::nullopt;
     }
-    if (!whole) {
+    if (!isValid) {
         faults.push_back({"/", "text that is not JSON", "a JSON document"});
         return std::nullopt;
     }
--- a/src/catalogue/table.cpp
+++ b/src/catalogue/table.cpp
@@ -92,7 +92,7 @@
 std::size_t CatalogueTable::merge(const std::vector<Entry> &batch)
 {
     const RankedLock lock(this->mutex);
-    std::size_t taken = 0;
+    std::size_t mergedCount = 0;
     auto next = this->current ? std::make_shared<CatalogueView>(*this->current)
                               : std::make_shared<CatalogueView>();
     for (const Entry &entry : batch) {
@@ -100,7 +100,7 @@
         if (known.version >= entry.version) {
             continue;
         }
-        ++taken;
+        ++mergedCount;
         next->version = std::max(next->version, entry.version);
         if (entry.unreadableText && !entry.body) {
             // The last version that could be parsed stays in force until this one is corrected.
@@ -112,10 +112,10 @@
         known = entry;
         putEntry(*next, entry);
     }
-    if (taken > 0) {
+    if (mergedCount > 0) {
         this->current = std::move(next);
     }
-    return taken;
+    return mergedCount;
 }
 
 void CatalogueTable::markComplete(std::uint64_t version, std::optional<TimePoint> at)
@@ -184,8 +184,8 @@
 std::optional<Authorization> admit(const CatalogueView &view, std::string_view token,
                                    std::string_view service, Duration staleness, Reason &reason)
 {
-    Authorization admission;
-    const Workspace *workspace = findWorkspace(view, token, admission.workspace);
+    Authorization authorization;
+    const Workspace *workspace = findWorkspace(view, token, authorization.workspace);
     if (workspace == nullptr) {
         reason = {ErrorKind::Unauthorized, "", std::nullopt};
         return std::nullopt;
@@ -200,37 +200,37 @@
         reason = {ErrorKind::NotPermitted, "service " + std::string(service), std::nullopt};
         return std::nullopt;
     }
-    const DataClass *own = view.dataClasses.find(workspace->dataClass);
-    const DataClass *other = view.dataClasses.find(found->dataClass);
-    if (own == nullptr || other == nullptr) {
+    const DataClass *workspaceClass = view.dataClasses.find(workspace->dataClass);
+    const DataClass *serviceClass = view.dataClasses.find(found->dataClass);
+    if (workspaceClass == nullptr || serviceClass == nullptr) {
         reason = {ErrorKind::NoPermittedPlace, "a data class is not in the catalogue", {}};
         return std::nullopt;
     }
-    if (isTooStale(*own, staleness) || isTooStale(*other, staleness)) {
+    if (isTooStale(*workspaceClass, staleness) || isTooStale(*serviceClass, staleness)) {
         reason = {ErrorKind::NoCatalogue, "the catalogue is older than the class allows", {}};
         return std::nullopt;
     }
-    for (const std::string &place : own->dataCentres) {
-        const auto &others = other->dataCentres;
-        if (std::find(others.begin(), others.end(), place) != others.end()) {
-            admission.dataCentres.push_back(place);
+    for (const std::string &dataCentre : workspaceClass->dataCentres) {
+        const auto &others = serviceClass->dataCentres;
+        if (std::find(others.begin(), others.end(), dataCentre) != others.end()) {
+            authorization.dataCentres.push_back(dataCentre);
         }
     }
-    if (admission.dataCentres.empty()) {
+    if (authorization.dataCentres.empty()) {
         reason = {ErrorKind::NoPermittedPlace, "the data classes share no place", std::nullopt};
         return std::nullopt;
     }
-    admission.workspaceEntry = *workspace;
-    admission.service = service;
-    admission.serviceEntry = *found;
-    admission.catalogueVersion = view.version;
-    return admission;
+    authorization.workspaceEntry = *workspace;
+    authorization.service = service;
+    authorization.serviceEntry = *found;
+    authorization.catalogueVersion = view.version;
+    return authorization;
 }
 
-bool permits(const Authorization &admission, std::string_view place) noexcept
+bool permits(const Authorization &authorization, std::string_view dataCentre) noexcept
 {
-    return std::find(admission.dataCentres.begin(), admission.dataCentres.end(), place)
-           != admission.dataCentres.end();
+    return std::find(authorization.dataCentres.begin(), authorization.dataCentres.end(), dataCentre)
+           != authorization.dataCentres.end();
 }
 
 bool equalInConstantTime(std::string_view first, std::string_view second) noexcept
--- a/src/claims/entrycodec.cpp
+++ b/src/claims/entrycodec.cpp
@@ -7,24 +7,24 @@
 
 namespace {
 
-constexpr std::size_t digits = 16;
-constexpr std::size_t numbers = 5;
+constexpr std::size_t hexDigits = 16;
+constexpr std::size_t fieldCount = 5;
 constexpr int hexBase = 16;
-constexpr char claimMark = 'c';
-constexpr char releaseMark = 'r';
+constexpr char claimTag = 'c';
+constexpr char releaseTag = 'r';
 
 void appendHex(std::string &text, std::uint64_t number)
 {
-    std::array<char, digits> buffer{};
+    std::array<char, hexDigits> buffer{};
     auto *const end =
         std::to_chars(buffer.data(), buffer.data() + buffer.size(), number, hexBase).ptr;
     const auto size = static_cast<std::size_t>(end - buffer.data());
-    text.append(digits - size, '0').append(buffer.data(), size);
+    text.append(hexDigits - size, '0').append(buffer.data(), size);
 }
 
 std::string encodeEntry(const ClaimLogEntry &entry)
 {
-    std::string text(1, entry.released ? releaseMark : claimMark);
+    std::string text(1, entry.released ? releaseTag : claimTag);
     const Claim &claim = entry.claim;
     for (const std::uint64_t number :
          {claim.id.high, claim.id.low, claim.owner, claim.nonce, claim.content}) {
@@ -39,16 +39,16 @@
         return std::nullopt;
     }
     const auto &text = json.get_ref<const std::string &>();
-    if (text.size() != 1 + numbers * digits) {
+    if (text.size() != 1 + fieldCount * hexDigits) {
         return std::nullopt;
     }
-    std::array<std::uint64_t, numbers> values{};
-    for (std::size_t index = 0; index < numbers; ++index) {
-        const char *first = text.data() + 1 + index * digits;
-        std::from_chars(first, first + digits, values.at(index), hexBase);
+    std::array<std::uint64_t, fieldCount> values{};
+    for (std::size_t index = 0; index < fieldCount; ++index) {
+        const char *first = text.data() + 1 + index * hexDigits;
+        std::from_chars(first, first + hexDigits, values.at(index), hexBase);
     }
     return ClaimLogEntry{{{values[0], values[1]}, values[2], values[3], values[4]},
-                         text.front() == releaseMark};
+                         text.front() == releaseTag};
 }
 
 nlohmann::json encodeEntries(const std::vector<ClaimLogEntry> &entries)
@@ -71,7 +71,7 @@
     return entries;
 }
 
-std::optional<std::uint64_t> numberAt(const nlohmann::json &json, const char *name)
+std::optional<std::uint64_t> unsignedAt(const nlohmann::json &json, const char *name)
 {
     if (!json.is_object()) {
         return std::nullopt;
@@ -95,8 +95,8 @@
 
 std::optional<BatchRecord> decodeBatch(const nlohmann::json &json)
 {
-    const auto position = numberAt(json, "position");
-    const auto time = numberAt(json, "time");
+    const auto position = unsignedAt(json, "position");
+    const auto time = unsignedAt(json, "time");
     if (!position || !time || !json.contains("entries") || !json.contains("nonce")
         || !json["nonce"].is_string()) {
         return std::nullopt;
@@ -115,9 +115,9 @@
 
 std::optional<SegmentRecord> decodeSegment(const nlohmann::json &json)
 {
-    const auto number = numberAt(json, "number");
-    const auto time = numberAt(json, "time");
-    const auto horizon = numberAt(json, "horizon");
+    const auto number = unsignedAt(json, "number");
+    const auto time = unsignedAt(json, "time");
+    const auto horizon = unsignedAt(json, "horizon");
     if (!number || !time || !horizon || !json.contains("entries")) {
         return std::nullopt;
     }
--- a/src/claims/log.cpp
+++ b/src/claims/log.cpp
@@ -43,7 +43,7 @@
     }
 }
 
-void forget(ClaimLog &log, const ClaimLog::Segment &segment)
+void forgetSegment(ClaimLog &log, const ClaimLog::Segment &segment)
 {
     for (const ClaimLogEntry &entry : segment.entries) {
         const auto held = log.claims.find(entry.claim.id);
@@ -54,7 +54,7 @@
 }
 
 /// Applies the entries of the next position.
-void advance(ClaimLog &log, const std::vector<ClaimLogEntry> &entries, std::uint64_t time)
+void applyPosition(ClaimLog &log, const std::vector<ClaimLogEntry> &entries, std::uint64_t time)
 {
     for (const ClaimLogEntry &entry : entries) {
         applyEntry(log, entry);
@@ -64,7 +64,7 @@
     ++log.nextPosition;
 }
 
-void startOver(ClaimLog &log)
+void restartLoading(ClaimLog &log)
 {
     log.phase = ClaimLog::Phase::LoadingSegments;
     log.nextSegmentSlot = 0;
@@ -86,47 +86,47 @@
 }
 
 /// Seals the entries since the last segment as a segment, and forgets the oldest one.
-void keepSegment(ClaimLog &log)
+void sealSegment(ClaimLog &log)
 {
     log.segments.push_back({std::move(log.unsealedEntries), log.lastTime});
     log.unsealedEntries.clear();
     ++log.sealedSegmentCount;
     if (log.segments.size() > log.limits.maxSegments) {
         log.horizon = std::max(log.horizon, log.segments.front().horizon);
-        forget(log, log.segments.front());
+        forgetSegment(log, log.segments.front());
         log.segments.pop_front();
     }
 }
 
-void composeSegment(ClaimLog &log)
+void prepareSegmentWrite(ClaimLog &log)
 {
     const std::uint64_t number = log.sealedSegmentCount;
     std::uint64_t horizon = log.horizon;
     if (log.segments.size() == log.limits.maxSegments) {
         horizon = std::max(horizon, log.segments.front().horizon);
     }
-    ClaimLog::PendingWrite next;
-    next.isSegment = true;
-    next.call = {true, segmentName(log, number), versionOf(log, segmentName(log, number)),
-                 encodeSegment({number, log.lastTime, horizon, log.unsealedEntries})};
-    log.pendingWrite = std::move(next);
+    ClaimLog::PendingWrite write;
+    write.isSegment = true;
+    write.call = {true, segmentName(log, number), versionOf(log, segmentName(log, number)),
+                  encodeSegment({number, log.lastTime, horizon, log.unsealedEntries})};
+    log.pendingWrite = std::move(write);
 }
 
-bool isExpired(const ClaimLog &log, const ClaimRequest &ask)
+bool isExpired(const ClaimLog &log, const ClaimRequest &request)
 {
     const auto skew = static_cast<std::uint64_t>(log.limits.maxClockSkew.count());
-    return ask.issuedMilliseconds != 0 && log.horizon != 0
-           && ask.issuedMilliseconds <= log.horizon + skew;
+    return request.issuedMilliseconds != 0 && log.horizon != 0
+           && request.issuedMilliseconds <= log.horizon + skew;
 }
 
 std::vector<ClaimLogEntry> entriesToWrite(ClaimLog &log)
 {
     std::vector<ClaimLogEntry> entries;
-    const auto useless = [&log](const Claim &claim) {
+    const auto isObsolete = [&log](const Claim &claim) {
         const auto held = log.claims.find(claim.id);
         return held == log.claims.end() || held->second.nonce != claim.nonce;
     };
-    log.releases.erase(std::remove_if(log.releases.begin(), log.releases.end(), useless),
+    log.releases.erase(std::remove_if(log.releases.begin(), log.releases.end(), isObsolete),
                        log.releases.end());
     for (const Claim &claim : log.releases) {
         if (entries.size() < log.limits.maxEntriesPerPosition) {
@@ -134,31 +134,31 @@
         }
     }
     std::set<ClaimId> ids;
-    for (const ClaimLog::PendingClaim &waiting : log.pending) {
-        const Claim &claim = waiting.request.claim;
+    for (const ClaimLog::PendingClaim &pendingClaim : log.pending) {
+        const Claim &claim = pendingClaim.request.claim;
         if (entries.size() < log.limits.maxEntriesPerPosition && !log.claims.contains(claim.id)
-            && !isExpired(log, waiting.request) && ids.insert(claim.id).second) {
+            && !isExpired(log, pendingClaim.request) && ids.insert(claim.id).second) {
             entries.push_back({claim, false});
         }
     }
     return entries;
 }
 
-void composeBatch(ClaimLog &log, std::vector<ClaimLogEntry> entries, WallTime wall)
+void prepareBatchWrite(ClaimLog &log, std::vector<ClaimLogEntry> entries, WallTime wallTime)
 {
-    const auto time = static_cast<std::uint64_t>(wall.time_since_epoch().count());
+    const auto time = static_cast<std::uint64_t>(wallTime.time_since_epoch().count());
     const std::string name = positionName(log, log.nextPosition);
     const std::string nonce = std::to_string(log.writer) + "." + std::to_string(++log.batchCount);
-    ClaimLog::PendingWrite next;
-    next.call = {true, name, versionOf(log, name),
-                 encodeBatch({log.nextPosition, nonce, std::max(time, log.lastTime), entries})};
-    next.entries = std::move(entries);
-    log.pendingWrite = std::move(next);
+    ClaimLog::PendingWrite write;
+    write.call = {true, name, versionOf(log, name),
+                  encodeBatch({log.nextPosition, nonce, std::max(time, log.lastTime), entries})};
+    write.entries = std::move(entries);
+    log.pendingWrite = std::move(write);
 }
 
 /// Finishes loading segments: applies them in order, or starts over when they are not contiguous,
 /// because then another writer wrote meanwhile or a read was stale.
-void takeLoadedSegments(ClaimLog &log)
+void finishLoadingSegments(ClaimLog &log)
 {
     if (log.loadedSegments.empty()) {
         log.phase = ClaimLog::Phase::ReadingPositions;
@@ -168,7 +168,7 @@
     const std::uint64_t oldest = log.loadedSegments.begin()->first;
     if (newest - oldest + 1 != log.loadedSegments.size()
         || (oldest != 0 && log.loadedSegments.size() != log.limits.maxSegments)) {
-        startOver(log);
+        restartLoading(log);
         return;
     }
     for (auto &[number, segment] : log.loadedSegments) {
@@ -184,72 +184,72 @@
     log.phase = ClaimLog::Phase::ReadingPositions;
 }
 
-void takeSegmentRead(ClaimLog &log, const StoreResponse &answer)
+void handleSegmentRead(ClaimLog &log, const StoreResponse &response)
 {
     const auto record =
-        answer.outcome == StoreOutcome::Ok ? decodeSegment(answer.body) : std::nullopt;
+        response.outcome == StoreOutcome::Ok ? decodeSegment(response.body) : std::nullopt;
     if (!record) {
-        takeLoadedSegments(log);
+        finishLoadingSegments(log);
         return;
     }
-    log.versions[segmentName(log, record->number)] = answer.version;
+    log.versions[segmentName(log, record->number)] = response.version;
     log.horizon = std::max(log.horizon, record->horizon);
     log.loadedSegments[record->number] = {record->entries, record->time};
     if (++log.nextSegmentSlot == log.limits.maxSegments) {
-        takeLoadedSegments(log);
+        finishLoadingSegments(log);
     }
 }
 
 /// Handles the content of the ring object in which the next position is expected.
-void takePosition(ClaimLog &log, const StoreResponse &answer, TimePoint now)
+void handlePosition(ClaimLog &log, const StoreResponse &response, TimePoint now)
 {
-    const auto record = decodeBatch(answer.body);
-    if (answer.version != 0) {
-        log.versions[positionName(log, log.nextPosition)] = answer.version;
+    const auto record = decodeBatch(response.body);
+    if (response.version != 0) {
+        log.versions[positionName(log, log.nextPosition)] = response.version;
     }
     if (record && record->position == log.nextPosition) {
-        advance(log, record->entries, record->time);
+        applyPosition(log, record->entries, record->time);
         if (log.contendedUntil && now < *log.contendedUntil) {
             log.contendedUntil = now + log.limits.contentionWindow;
         }
         return;
     }
     if (record && record->position > log.nextPosition) {
-        startOver(log);
+        restartLoading(log);
         return;
     }
     log.syncedAt = now;
     log.phase = ClaimLog::Phase::Ready;
 }
 
-void takeRead(ClaimLog &log, const StoreResponse &answer, TimePoint now)
+void handleRead(ClaimLog &log, const StoreResponse &response, TimePoint now)
 {
-    if (answer.outcome != StoreOutcome::Ok && answer.outcome != StoreOutcome::NotFound) {
+    if (response.outcome != StoreOutcome::Ok && response.outcome != StoreOutcome::NotFound) {
         return;
     }
     if (log.phase == ClaimLog::Phase::LoadingSegments) {
-        takeSegmentRead(log, answer);
+        handleSegmentRead(log, response);
     } else {
-        takePosition(log, answer, now);
+        handlePosition(log, response, now);
     }
 }
 
-void takeSegmentWrite(ClaimLog &log, const StoreResponse &answer)
+void handleSegmentWrite(ClaimLog &log, const StoreResponse &response)
 {
-    log.versions[log.pendingWrite->call.name] = answer.version;
-    if (answer.outcome == StoreOutcome::Conflict) {
-        const auto record = decodeSegment(answer.body);
+    log.versions[log.pendingWrite->call.name] = response.version;
+    if (response.outcome == StoreOutcome::Conflict) {
+        const auto record = decodeSegment(response.body);
         if (record && record->number > log.sealedSegmentCount) {
-            startOver(log);
+            restartLoading(log);
             return;
         }
         if (!record || record->number < log.sealedSegmentCount) {
-            log.pendingWrite->call.ifVersion = answer.version;
+            log.pendingWrite->call.ifVersion = response.version;
             return;
         }
     }
     log.pendingWrite.reset();
-    keepSegment(log);
+    sealSegment(log);
 }
 
 bool isContended(const ClaimLog &log, TimePoint now)
@@ -258,7 +258,7 @@
 }
 
 /// Sets when the next position may be attempted.
-void awaitPace(ClaimLog &log, TimePoint now)
+void scheduleNextWrite(ClaimLog &log, TimePoint now)
 {
     log.nextWriteAt =
         now
@@ -266,48 +266,48 @@
                             mixHash(log.writer, mixHash(log.batchCount, log.nextPosition)));
 }
 
-void loseRace(ClaimLog &log, TimePoint now)
+void handleLostRace(ClaimLog &log, TimePoint now)
 {
     if (log.limits.maxBackoffDoublings == 0) {
         return;
     }
     ++log.lostRaces;
     log.contendedUntil = now + log.limits.contentionWindow;
-    awaitPace(log, now);
+    scheduleNextWrite(log, now);
 }
 
-void takeBatchWrite(ClaimLog &log, const StoreResponse &answer, TimePoint now)
+void handleBatchWrite(ClaimLog &log, const StoreResponse &response, TimePoint now)
 {
     const auto written = decodeBatch(log.pendingWrite->call.body);
-    if (answer.outcome == StoreOutcome::Ok) {
-        log.versions[log.pendingWrite->call.name] = answer.version;
+    if (response.outcome == StoreOutcome::Ok) {
+        log.versions[log.pendingWrite->call.name] = response.version;
         log.pendingWrite.reset();
-        advance(log, written->entries, written->time);
+        applyPosition(log, written->entries, written->time);
         log.syncedAt = now;
         log.lostRaces = 0;
-        awaitPace(log, now);
+        scheduleNextWrite(log, now);
         return;
     }
-    const auto present = decodeBatch(answer.body);
-    if (!present || present->position < log.nextPosition) {
-        log.versions[log.pendingWrite->call.name] = answer.version;
-        log.pendingWrite->call.ifVersion = answer.version;
+    const auto current = decodeBatch(response.body);
+    if (!current || current->position < log.nextPosition) {
+        log.versions[log.pendingWrite->call.name] = response.version;
+        log.pendingWrite->call.ifVersion = response.version;
         return;
     }
     // Recognises a lost response: an object with this batch's own nonce holds its own entries.
     // Another writer's batch is read, and this one continues after it.
-    const bool own = present->nonce == written->nonce;
+    const bool isOwn = current->nonce == written->nonce;
     log.pendingWrite.reset();
-    if (own) {
+    if (isOwn) {
         log.lostRaces = 0;
-        awaitPace(log, now);
+        scheduleNextWrite(log, now);
     } else {
-        loseRace(log, now);
+        handleLostRace(log, now);
     }
-    takePosition(log, answer, now);
+    handlePosition(log, response, now);
 }
 
-void takeFailure(ClaimLog &log, const StoreResponse &answer, TimePoint now)
+void handleFailure(ClaimLog &log, const StoreResponse &response, TimePoint now)
 {
     if (!log.failingSince) {
         log.failingSince = now;
@@ -317,7 +317,7 @@
         return;
     }
     log.pendingWrite->mayHaveTakenEffect =
-        log.pendingWrite->mayHaveTakenEffect || answer.outcome == StoreOutcome::Unknown;
+        log.pendingWrite->mayHaveTakenEffect || response.outcome == StoreOutcome::Unknown;
     // A batch that can't have reached the store is rebuilt without the requests given up meanwhile.
     // One that may have reached it is sent again unchanged until the store says what holds its
     // position.
@@ -334,7 +334,7 @@
 /// Whether the view was refreshed since the write interval last allowed an attempt. Two writers
 /// that each write at what they believe to be the next position lose every other attempt; a read is
 /// cheaper.
-bool isCheckedForOthers(const ClaimLog &log, TimePoint now)
+bool isRefreshedSinceWrite(const ClaimLog &log, TimePoint now)
 {
     return !isContended(log, now) || *log.syncedAt >= log.nextWriteAt;
 }
@@ -347,44 +347,44 @@
     if (!contended || limits.maxBackoffDoublings == 0) {
         return limits.writeInterval;
     }
-    constexpr std::uint64_t steps = 1000;
+    constexpr std::uint64_t jitterSteps = 1000;
     const Duration base =
         limits.writeInterval * (1U << std::clamp(lostRaces, 1U, limits.maxBackoffDoublings));
-    return base + base / 2 * (seed % steps) / steps;
+    return base + base / 2 * (seed % jitterSteps) / jitterSteps;
 }
 
-bool enqueueClaim(ClaimLog &log, const ClaimRequest &ask)
+bool enqueueClaim(ClaimLog &log, const ClaimRequest &request)
 {
-    for (const ClaimLog::PendingClaim &waiting : log.pending) {
-        if (waiting.request.claim.nonce == ask.claim.nonce) {
+    for (const ClaimLog::PendingClaim &pendingClaim : log.pending) {
+        if (pendingClaim.request.claim.nonce == request.claim.nonce) {
             return true;
         }
     }
     if (log.pending.size() >= log.limits.maxPending) {
         return false;
     }
-    log.pending.push_back({ask});
+    log.pending.push_back({request});
     return true;
 }
 
 void releaseClaim(ClaimLog &log, const Claim &claim)
 {
-    const auto same = [&claim](const ClaimLog::PendingClaim &waiting) {
-        return waiting.request.claim.nonce == claim.nonce;
+    const auto isSame = [&claim](const ClaimLog::PendingClaim &pendingClaim) {
+        return pendingClaim.request.claim.nonce == claim.nonce;
     };
-    log.pending.erase(std::remove_if(log.pending.begin(), log.pending.end(), same),
+    log.pending.erase(std::remove_if(log.pending.begin(), log.pending.end(), isSame),
                       log.pending.end());
-    const auto known = [&claim](const Claim &each) { return each.nonce == claim.nonce; };
+    const auto isKnown = [&claim](const Claim &each) { return each.nonce == claim.nonce; };
     if (log.releases.size() < log.limits.maxPending
-        && std::none_of(log.releases.begin(), log.releases.end(), known)) {
+        && std::none_of(log.releases.begin(), log.releases.end(), isKnown)) {
         log.releases.push_back(claim);
     }
 }
 
-std::optional<StoreCall> nextStoreCall(ClaimLog &log, TimePoint now, WallTime wall)
+std::optional<StoreCall> nextStoreCall(ClaimLog &log, TimePoint now, WallTime wallTime)
 {
-    const bool work = !log.pending.empty() || !log.releases.empty() || log.pendingWrite;
-    if (log.callOutstanding || !work || (log.failingSince && now < log.nextWriteAt)) {
+    const bool hasWork = !log.pending.empty() || !log.releases.empty() || log.pendingWrite;
+    if (log.callOutstanding || !hasWork || (log.failingSince && now < log.nextWriteAt)) {
         return std::nullopt;
     }
     log.callOutstanding = true;
@@ -395,7 +395,7 @@
         return StoreCall{false, segmentName(log, log.nextSegmentSlot), 0, {}};
     }
     if (mustSeal(log)) {
-        composeSegment(log);
+        prepareSegmentWrite(log);
         return log.pendingWrite->call;
     }
     if (log.phase == ClaimLog::Phase::ReadingPositions || isStale(log, now)) {
@@ -404,12 +404,12 @@
     }
     if (now >= log.nextWriteAt) {
         auto entries = entriesToWrite(log);
-        if (!entries.empty() && !isCheckedForOthers(log, now)) {
+        if (!entries.empty() && !isRefreshedSinceWrite(log, now)) {
             log.phase = ClaimLog::Phase::ReadingPositions;
             return StoreCall{false, positionName(log, log.nextPosition), 0, {}};
         }
         if (!entries.empty()) {
-            composeBatch(log, std::move(entries), wall);
+            prepareBatchWrite(log, std::move(entries), wallTime);
             return log.pendingWrite->call;
         }
     }
@@ -423,17 +423,17 @@
     if (log.phase != ClaimLog::Phase::Ready || isStale(log, now)) {
         return replies;
     }
-    const auto decide = [&](const ClaimLog::PendingClaim &waiting) {
-        const Claim &claim = waiting.request.claim;
+    const auto decide = [&](const ClaimLog::PendingClaim &pendingClaim) {
+        const Claim &claim = pendingClaim.request.claim;
         const auto held = log.claims.find(claim.id);
         if (held != log.claims.end()) {
-            const bool own = held->second.nonce == claim.nonce;
+            const bool isOwn = held->second.nonce == claim.nonce;
             replies.push_back(
-                {claim.nonce, own ? ClaimVerdict::Granted : ClaimVerdict::Taken, held->second});
+                {claim.nonce, isOwn ? ClaimVerdict::Granted : ClaimVerdict::Taken, held->second});
             return true;
         }
         // A claim in a pending write may still be written, and is not expired then.
-        if (!log.pendingWrite && isExpired(log, waiting.request)) {
+        if (!log.pendingWrite && isExpired(log, pendingClaim.request)) {
             replies.push_back({claim.nonce, ClaimVerdict::Expired, {}});
             return true;
         }
@@ -444,31 +444,31 @@
     return replies;
 }
 
-std::vector<ClaimReply> handleStoreResponse(ClaimLog &log, const StoreResponse &answer,
+std::vector<ClaimReply> handleStoreResponse(ClaimLog &log, const StoreResponse &response,
                                             TimePoint now)
 {
     log.callOutstanding = false;
-    if (answer.outcome == StoreOutcome::Rejected || answer.outcome == StoreOutcome::Unknown) {
-        takeFailure(log, answer, now);
+    if (response.outcome == StoreOutcome::Rejected || response.outcome == StoreOutcome::Unknown) {
+        handleFailure(log, response, now);
         return {};
     }
     log.failingSince.reset();
     if (!log.pendingWrite) {
-        takeRead(log, answer, now);
-    } else if (answer.outcome == StoreOutcome::NotFound) {
-        startOver(log);
+        handleRead(log, response, now);
+    } else if (response.outcome == StoreOutcome::NotFound) {
+        restartLoading(log);
     } else if (log.pendingWrite->isSegment) {
-        takeSegmentWrite(log, answer);
+        handleSegmentWrite(log, response);
     } else {
-        takeBatchWrite(log, answer, now);
+        handleBatchWrite(log, response, now);
     }
     return decideClaims(log, now);
 }
 
 std::optional<TimePoint> wakeTime(const ClaimLog &log, TimePoint now)
 {
-    const bool work = !log.pending.empty() || !log.releases.empty() || log.pendingWrite;
-    if (log.callOutstanding || !work) {
+    const bool hasWork = !log.pending.empty() || !log.releases.empty() || log.pendingWrite;
+    if (log.callOutstanding || !hasWork) {
         return std::nullopt;
     }
     return std::max(now, log.nextWriteAt);
--- a/src/claims/ownclaims.cpp
+++ b/src/claims/ownclaims.cpp
@@ -10,7 +10,7 @@
                                 std::string_view{"abandoned"}, std::string_view{"running"},
                                 std::string_view{"done"},      std::string_view{"lost"}};
 
-void dropOldestAnswer(OwnClaims &own)
+void dropOldestResponse(OwnClaims &own)
 {
     const auto found = own.byNonce.find(own.responseOrder.front());
     own.responseOrder.pop_front();
@@ -20,16 +20,16 @@
     }
 }
 
-void keepBounds(OwnClaims &own, TimePoint now)
+void enforceLimits(OwnClaims &own, TimePoint now)
 {
     while (!own.responseOrder.empty()) {
         const auto oldest = own.byNonce.find(own.responseOrder.front());
-        const bool old = oldest == own.byNonce.end()
-                         || now - oldest->second.since > own.limits.responseRetention;
-        if (!old && own.responseBytes <= own.limits.maxResponseBytes) {
+        const bool isExpired = oldest == own.byNonce.end()
+                               || now - oldest->second.since > own.limits.responseRetention;
+        if (!isExpired && own.responseBytes <= own.limits.maxResponseBytes) {
             break;
         }
-        dropOldestAnswer(own);
+        dropOldestResponse(own);
     }
     while (own.endedOrder.size() > own.limits.maxEndedClaims) {
         const auto oldest = own.byNonce.find(own.endedOrder.front());
@@ -79,7 +79,7 @@
 }
 
 void endClaim(OwnClaims &own, std::uint64_t nonce, OwnClaimState state,
-              std::optional<CachedResponse> answer, TimePoint now, bool notRun)
+              std::optional<CachedResponse> response, TimePoint now, bool notRun)
 {
     const auto found = own.byNonce.find(nonce);
     if (found == own.byNonce.end() || hasEnded(found->second.state)) {
@@ -91,12 +91,12 @@
         state == OwnClaimState::Abandoned && dispatched && !notRun ? OwnClaimState::Lost : state;
     claim.since = now;
     own.endedOrder.push_back(nonce);
-    if (answer && claim.state == OwnClaimState::Done) {
-        own.responseBytes += answer->body.size();
-        claim.response = std::move(answer);
+    if (response && claim.state == OwnClaimState::Done) {
+        own.responseBytes += response->body.size();
+        claim.response = std::move(response);
         own.responseOrder.push_back(nonce);
     }
-    keepBounds(own, now);
+    enforceLimits(own, now);
 }
 
 OwnClaim ownClaimOf(const OwnClaims &own, std::uint64_t nonce)
@@ -145,10 +145,10 @@
 }
 
 void OwnClaimTable::end(std::uint64_t nonce, OwnClaimState state,
-                        std::optional<CachedResponse> answer, TimePoint now, bool notRun)
+                        std::optional<CachedResponse> response, TimePoint now, bool notRun)
 {
     const RankedLock lock(this->mutex);
-    endClaim(this->own, nonce, state, std::move(answer), now, notRun);
+    endClaim(this->own, nonce, state, std::move(response), now, notRun);
 }
 
 OwnClaim OwnClaimTable::find(std::uint64_t nonce) const
--- a/src/claims/writerchoice.cpp
+++ b/src/claims/writerchoice.cpp
@@ -9,46 +9,46 @@
 
 namespace {
 
-constexpr const char *sliceSalt = "claimlog";
+constexpr const char *rendezvousSalt = "claimlog";
 
 bool contains(const std::vector<std::uint64_t> &ids, std::uint64_t id)
 {
     return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-bool isSilent(const SilentWriters &silent, std::uint64_t id, TimePoint now)
+bool isSilent(const SilentWriters &silentWriters, std::uint64_t id, TimePoint now)
 {
-    const auto found = silent.find(id);
-    return found != silent.end() && now < found->second;
+    const auto found = silentWriters.find(id);
+    return found != silentWriters.end() && now < found->second;
 }
 
 /// Gives up the writer tried last after too many unacknowledged requests.
 /// \returns its id, or 0 when it is not given up
-std::uint64_t passOver(ClaimRoute &route, SilentWriters &silent, const WriterLimits &limits,
-                       TimePoint now)
+std::uint64_t skipUnresponsive(ClaimRoute &route, SilentWriters &silentWriters,
+                               const WriterLimits &limits, TimePoint now)
 {
     if (route.writer == 0 || route.unacknowledged < limits.maxUnacknowledged) {
         return 0;
     }
-    const std::uint64_t given = route.writer;
-    silent[given] = now + limits.silentWriterRetention;
-    route.triedWriters.push_back(given);
+    const std::uint64_t skipped = route.writer;
+    silentWriters[skipped] = now + limits.silentWriterRetention;
+    route.triedWriters.push_back(skipped);
     route.writer = 0;
     route.unacknowledged = 0;
-    return given;
+    return skipped;
 }
 
 /// Selects the next writer: the current one, else the first that is neither tried nor unresponsive.
 /// \returns its index, or the number of writers
-std::size_t chooseWriter(const ClaimRoute &route, const SilentWriters &silent,
+std::size_t selectWriter(const ClaimRoute &route, const SilentWriters &silentWriters,
                          const std::vector<std::uint64_t> &writers, TimePoint now)
 {
-    const auto same = std::find(writers.begin(), writers.end(), route.writer);
-    if (route.writer != 0 && same != writers.end()) {
-        return static_cast<std::size_t>(same - writers.begin());
+    const auto current = std::find(writers.begin(), writers.end(), route.writer);
+    if (route.writer != 0 && current != writers.end()) {
+        return static_cast<std::size_t>(current - writers.begin());
     }
     const auto next = std::find_if(writers.begin(), writers.end(), [&](std::uint64_t id) {
-        return !contains(route.triedWriters, id) && !isSilent(silent, id, now);
+        return !contains(route.triedWriters, id) && !isSilent(silentWriters, id, now);
     });
     return static_cast<std::size_t>(next - writers.begin());
 }
@@ -57,19 +57,20 @@
 
 std::vector<std::size_t> claimWritersOf(std::uint32_t slice,
                                         const std::vector<WriterCandidate> &members,
-                                        const std::string &ownPlace, const WriterLimits &limits)
+                                        const std::string &ownDataCentre,
+                                        const WriterLimits &limits)
 {
     std::vector<Candidate> candidates;
     candidates.reserve(members.size());
     for (const WriterCandidate &member : members) {
         candidates.push_back({member.id, 1.0});
     }
-    const auto order = rendezvousOrder(hashOf(sliceSalt, slice), candidates);
+    const auto order = rendezvousOrder(hashOf(rendezvousSalt, slice), candidates);
     std::vector<std::size_t> writers;
-    const auto add = [&](auto wanted) {
+    const auto add = [&](auto matches) {
         const auto found = std::find_if(order.begin(), order.end(), [&](std::size_t index) {
             return std::find(writers.begin(), writers.end(), index) == writers.end()
-                   && wanted(members[index]);
+                   && matches(members[index]);
         });
         if (found != order.end() && writers.size() < limits.maxWriters) {
             writers.push_back(*found);
@@ -81,11 +82,13 @@
         const std::string first = members[writers.front()].dataCentre;
         add([&first](const WriterCandidate &member) { return member.dataCentre != first; });
     }
-    const bool ownAsked = std::any_of(writers.begin(), writers.end(), [&](std::size_t index) {
-        return members[index].dataCentre == ownPlace;
-    });
-    if (!ownAsked) {
-        add([&ownPlace](const WriterCandidate &member) { return member.dataCentre == ownPlace; });
+    const bool hasOwnDataCentre =
+        std::any_of(writers.begin(), writers.end(),
+                    [&](std::size_t index) { return members[index].dataCentre == ownDataCentre; });
+    if (!hasOwnDataCentre) {
+        add([&ownDataCentre](const WriterCandidate &member) {
+            return member.dataCentre == ownDataCentre;
+        });
     }
     while (writers.size() < std::min(limits.maxWriters, members.size())) {
         add(any);
@@ -93,7 +96,7 @@
     return writers;
 }
 
-ClaimRouteStep nextClaimRouteStep(ClaimRoute &route, SilentWriters &silent,
+ClaimRouteStep nextClaimRouteStep(ClaimRoute &route, SilentWriters &silentWriters,
                                   const std::vector<std::uint64_t> &writers, std::uint64_t self,
                                   const WriterLimits &limits, TimePoint now)
 {
@@ -102,27 +105,28 @@
     }
     ClaimRouteStep step;
     step.wait = limits.resendInterval;
-    step.silentWriter = route.writeLocally ? 0 : passOver(route, silent, limits, now);
-    const std::size_t chosen = chooseWriter(route, silent, writers, now);
-    if (route.writeLocally || chosen == writers.size() || writers[chosen] == self) {
+    step.silentWriter =
+        route.writeLocally ? 0 : skipUnresponsive(route, silentWriters, limits, now);
+    const std::size_t selected = selectWriter(route, silentWriters, writers, now);
+    if (route.writeLocally || selected == writers.size() || writers[selected] == self) {
         route.writeLocally = true;
         return step;
     }
-    if (route.writer != writers[chosen]) {
-        route.writer = writers[chosen];
+    if (route.writer != writers[selected]) {
+        route.writer = writers[selected];
         route.unacknowledged = 0;
     }
     ++route.unacknowledged;
     step.action = ClaimRouteAction::Send;
-    step.writer = chosen;
+    step.writer = selected;
     step.wait = limits.ackTimeout;
     return step;
 }
 
-void recordWriterAck(ClaimRoute &route, SilentWriters &silent)
+void recordWriterAck(ClaimRoute &route, SilentWriters &silentWriters)
 {
     route.unacknowledged = 0;
-    silent.erase(route.writer);
+    silentWriters.erase(route.writer);
 }
 
 void recordWriterRefusal(ClaimRoute &route)
--- a/src/limits/fairqueue.cpp
+++ b/src/limits/fairqueue.cpp
@@ -9,14 +9,14 @@
 
 constexpr double intervalSmoothing = 0.1;
 
-bool isAsk(const QueuedRequest &queued, const SlotKey &key) noexcept
+bool hasKey(const QueuedRequest &queued, const SlotKey &key) noexcept
 {
     return queued.router == key.first && queued.request.requestId == key.second;
 }
 
-std::uint32_t weightOf(const SlotRequest &ask) noexcept
+std::uint32_t weightOf(const SlotRequest &request) noexcept
 {
-    return std::max<std::uint32_t>(ask.weight, 1);
+    return std::max<std::uint32_t>(request.weight, 1);
 }
 
 using FlowIterator = std::map<std::uint64_t, QueueFlow>::const_iterator;
@@ -35,7 +35,7 @@
 
 /// Drops flows without waiting requests whose virtual time has passed. Dropping them earlier would
 /// let a workspace start afresh each time its queue becomes empty.
-void forgetPassedFlows(FairQueue &queue)
+void dropPassedFlows(FairQueue &queue)
 {
     if (queue.length == 0) {
         queue.flows.clear();
@@ -48,50 +48,52 @@
     });
 }
 
-QueuedRequest *findAsk(FairQueue &queue, const SlotKey &key, std::uint64_t workspace)
+QueuedRequest *findRequest(FairQueue &queue, const SlotKey &key, std::uint64_t workspace)
 {
     const auto flow = queue.flows.find(workspace);
     if (flow == queue.flows.end()) {
         return nullptr;
     }
     std::deque<QueuedRequest> &waiting = flow->second.waiting;
-    const auto found = std::find_if(waiting.begin(), waiting.end(),
-                                    [&key](const QueuedRequest &each) { return isAsk(each, key); });
+    const auto found =
+        std::find_if(waiting.begin(), waiting.end(),
+                     [&key](const QueuedRequest &each) { return hasKey(each, key); });
     return found == waiting.end() ? nullptr : &*found;
 }
 
 template<typename Condition>
-std::vector<QueuedRequest> takeOut(FairQueue &queue, Condition condition)
+std::vector<QueuedRequest> removeIf(FairQueue &queue, Condition condition)
 {
-    std::vector<QueuedRequest> taken;
+    std::vector<QueuedRequest> removed;
     for (auto &[workspace, flow] : queue.flows) {
-        const auto rest = std::stable_partition(
+        const auto firstRemoved = std::stable_partition(
             flow.waiting.begin(), flow.waiting.end(),
             [&condition](const QueuedRequest &each) { return !condition(each); });
-        std::move(rest, flow.waiting.end(), std::back_inserter(taken));
-        flow.waiting.erase(rest, flow.waiting.end());
+        std::move(firstRemoved, flow.waiting.end(), std::back_inserter(removed));
+        flow.waiting.erase(firstRemoved, flow.waiting.end());
     }
-    queue.length -= taken.size();
-    forgetPassedFlows(queue);
-    return taken;
+    queue.length -= removed.size();
+    dropPassedFlows(queue);
+    return removed;
 }
 
 void insertByPriority(QueueFlow &flow, QueuedRequest queued)
 {
-    const auto place = std::find_if(flow.waiting.begin(), flow.waiting.end(),
-                                    [&queued](const QueuedRequest &each) {
-                                        return each.request.priority < queued.request.priority;
-                                    });
-    flow.waiting.insert(place, std::move(queued));
+    const auto position = std::find_if(flow.waiting.begin(), flow.waiting.end(),
+                                       [&queued](const QueuedRequest &each) {
+                                           return each.request.priority < queued.request.priority;
+                                       });
+    flow.waiting.insert(position, std::move(queued));
 }
 
-void noteServed(FairQueue &queue, TimePoint now)
+void recordServed(FairQueue &queue, TimePoint now)
 {
     if (queue.lastServed) {
         const Duration interval = now - *queue.lastServed;
-        const Duration before = queue.slotInterval.value_or(interval);
+        const Duration smoothed = queue.slotInterval.value_or(interval);
         queue.slotInterval =
-            before + std::chrono::duration_cast<Duration>((interval - before) * intervalSmoothing);
+            smoothed
+            + std::chrono::duration_cast<Duration>((interval - smoothed) * intervalSmoothing);
     }
     queue.lastServed = now;
 }
@@ -114,39 +116,39 @@
     }
     const double turns = static_cast<double>(ahead + 1) * weights / weight;
     // Never more turns than there are requests: shorter queues of others end first.
-    const double most = static_cast<double>(queue.length + 1);
-    return std::chrono::duration_cast<Duration>(*queue.slotInterval * std::min(turns, most));
+    const double maxTurns = static_cast<double>(queue.length + 1);
+    return std::chrono::duration_cast<Duration>(*queue.slotInterval * std::min(turns, maxTurns));
 }
 
-EnqueueResult enqueueRequest(FairQueue &queue, std::uint64_t router, const SlotRequest &ask,
+EnqueueResult enqueueRequest(FairQueue &queue, std::uint64_t router, const SlotRequest &request,
                              const QueueSettings &settings, TimePoint now)
 {
-    const std::uint32_t weight = weightOf(ask);
-    if (QueuedRequest *known = findAsk(queue, {router, ask.requestId}, ask.workspace)) {
+    const std::uint32_t weight = weightOf(request);
+    if (QueuedRequest *known = findRequest(queue, {router, request.requestId}, request.workspace)) {
         known->lastRepeatedAt = now;
         return {QueueVerdict::Repeated, Duration{0}};
     }
-    const Duration expected = expectedWait(queue, ask.workspace, weight);
-    const Duration bound = Milliseconds{ask.waitMilliseconds};
-    const auto known = queue.flows.find(ask.workspace);
-    const std::size_t own = known == queue.flows.end() ? 0 : known->second.waiting.size();
-    if (expected > bound || own >= settings.maxPerWeight * weight
+    const Duration expected = expectedWait(queue, request.workspace, weight);
+    const Duration maxWait = Milliseconds{request.waitMilliseconds};
+    const auto known = queue.flows.find(request.workspace);
+    const std::size_t ownLength = known == queue.flows.end() ? 0 : known->second.waiting.size();
+    if (expected > maxWait || ownLength >= settings.maxPerWeight * weight
         || queue.length >= settings.maxTotal) {
         return {QueueVerdict::Refused, expected};
     }
-    QueueFlow &flow = queue.flows[ask.workspace];
+    QueueFlow &flow = queue.flows[request.workspace];
     if (flow.waiting.empty()) {
         flow.startTag = std::max(flow.startTag, queue.virtualTime);
     }
     flow.weight = weight;
-    insertByPriority(flow, {router, ask, now, now + bound, now});
+    insertByPriority(flow, {router, request, now, now + maxWait, now});
     ++queue.length;
     return {QueueVerdict::Queued, expected};
 }
 
 std::vector<QueuedRequest> expireRequests(FairQueue &queue, TimePoint now)
 {
-    return takeOut(queue, [now](const QueuedRequest &each) {
+    return removeIf(queue, [now](const QueuedRequest &each) {
         return now >= each.expiresAt || now - each.lastRepeatedAt > requesterTimeout;
     });
 }
@@ -169,19 +171,21 @@
     if (served) {
         queue.virtualTime = std::max(queue.virtualTime, flow.startTag);
         flow.startTag += 1.0 / flow.weight;
-        noteServed(queue, now);
+        recordServed(queue, now);
     }
-    forgetPassedFlows(queue);
+    dropPassedFlows(queue);
 }
 
 bool cancelRequest(FairQueue &queue, const SlotKey &key)
 {
-    return !takeOut(queue, [&key](const QueuedRequest &each) { return isAsk(each, key); }).empty();
+    return !removeIf(queue, [&key](const QueuedRequest &each) {
+                return hasKey(each, key);
+            }).empty();
 }
 
 void cancelRouter(FairQueue &queue, std::uint64_t router)
 {
-    takeOut(queue, [router](const QueuedRequest &each) { return each.router == router; });
+    removeIf(queue, [router](const QueuedRequest &each) { return each.router == router; });
 }
 
 } // namespace plantainswitch
--- a/src/limits/table.cpp
+++ b/src/limits/table.cpp
@@ -9,7 +9,7 @@
 
 /// A dropped workspace starts with a full minimum burst again. Dropping it late keeps the requests
 /// that this admits far below any limit.
-constexpr Duration idleMemory = std::chrono::hours{1};
+constexpr Duration idleRetention = std::chrono::hours{1};
 
 } // namespace
 
@@ -82,7 +82,7 @@
                                        TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    LimitShares answer{report.sequence, {}};
+    LimitShares reply{report.sequence, {}};
     for (const LimitUse &use : report.uses) {
         const auto limit = limitOf(use.workspace);
         if (!limit) {
@@ -90,20 +90,21 @@
         }
         if (const auto share = allocateShare(this->owned[use.workspace], *limit, router, use,
                                              report.sequence, fleet, this->settings, now)) {
-            answer.shares.push_back(*share);
+            reply.shares.push_back(*share);
         }
     }
-    return answer;
+    return reply;
 }
 
 void LimitTable::forgetIdle(TimePoint now)
 {
     const RankedLock lock(this->mutex);
     std::erase_if(this->locals, [now](const auto &item) {
-        return item.second.inFlight == 0 && now - item.second.lastUsed > idleMemory;
+        return item.second.inFlight == 0 && now - item.second.lastUsed > idleRetention;
+    });
+    std::erase_if(this->owned, [now](const auto &item) {
+        return now - item.second.lastReportAt > idleRetention;
     });
-    std::erase_if(this->owned,
-                  [now](const auto &item) { return now - item.second.lastReportAt > idleMemory; });
 }
 
 double LimitTable::rate(WorkspaceId workspace, const WorkspaceLimit &limit, const FleetSize &fleet,
--- a/src/membership/freshness.cpp
+++ b/src/membership/freshness.cpp
@@ -9,18 +9,18 @@
 /// Confirmations within the bound. The time of one of them is left for a timeout and for the update
 /// of the other routers and their lists.
 constexpr std::int64_t confirmationsInBound = 2;
-constexpr std::int64_t gatherPausesInBound = 12;
+constexpr std::int64_t coalesceDelaysInBound = 12;
 /// Keeps a standby within the bound if the first watcher fails during the standby's delay.
-constexpr std::int64_t standbyPauses = 2;
+constexpr std::int64_t standbyDelayFactor = 2;
 /// A response takes a few milliseconds; a small VM may delay it by a few hundred.
 constexpr Milliseconds minTimeout{400};
 constexpr Milliseconds maxTimeout{2500};
 constexpr std::uint32_t maxDoublings = 2;
-constexpr Milliseconds minRetryPause{250};
-constexpr Milliseconds maxRetryPause{1000};
+constexpr Milliseconds minRetryDelay{250};
+constexpr Milliseconds maxRetryDelay{1000};
 /// Time for the confirmer's response to reach the other routers.
 constexpr Milliseconds updateDelay{300};
-constexpr Milliseconds rankStep{100};
+constexpr Milliseconds delayPerRank{100};
 constexpr std::size_t maxRank = 10;
 
 } // namespace
@@ -29,16 +29,16 @@
 {
     FreshnessPolicy policy;
     policy.confirmInterval = bound / confirmationsInBound;
-    policy.coalesceDelay = bound / gatherPausesInBound;
-    policy.standbyCoalesceDelay = policy.coalesceDelay * standbyPauses;
+    policy.coalesceDelay = bound / coalesceDelaysInBound;
+    policy.standbyCoalesceDelay = policy.coalesceDelay * standbyDelayFactor;
     policy.maxWatchWait = std::max(policy.maxWatchWait, policy.confirmInterval);
     return policy;
 }
 
-void AdaptiveTimeout::recordResponse(Duration took) noexcept
+void AdaptiveTimeout::recordResponse(Duration elapsed) noexcept
 {
     // Adapts to a slower platform at once and to a faster one gradually.
-    this->smoothed = std::max(took, (this->smoothed + took) / 2);
+    this->smoothed = std::max(elapsed, (this->smoothed + elapsed) / 2);
     this->timeouts = 0;
 }
 
@@ -53,10 +53,10 @@
 Milliseconds retryBackoff(std::uint32_t failures, std::uint64_t seed) noexcept
 {
     const std::uint32_t doublings = std::min(std::max(failures, 1U) - 1, maxDoublings);
-    const Milliseconds pause = std::min(minRetryPause * (1 << doublings), maxRetryPause);
-    const auto spread = static_cast<std::int64_t>(seed % static_cast<std::uint64_t>(pause.count()));
+    const Milliseconds delay = std::min(minRetryDelay * (1 << doublings), maxRetryDelay);
+    const auto jitter = static_cast<std::int64_t>(seed % static_cast<std::uint64_t>(delay.count()));
     // Between half of the delay and all of it.
-    return (pause + Milliseconds{spread}) / 2;
+    return (delay + Milliseconds{jitter}) / 2;
 }
 
 bool isWatchDue(const FreshnessPolicy &policy, Duration sinceChange, bool isStandby) noexcept
@@ -69,18 +69,17 @@
     return isConfirmer ? policy.confirmInterval : policy.maxWatchWait;
 }
 
-bool isConfirmationDue(const FreshnessPolicy &policy, const ConfirmationState &situation) noexcept
+bool isConfirmationDue(const FreshnessPolicy &policy, const ConfirmationState &state) noexcept
 {
-    return situation.rank == 0 && situation.currentWatchWait > policy.confirmInterval
-           && situation.sinceConfirmed > policy.confirmInterval;
+    return state.rank == 0 && state.currentWatchWait > policy.confirmInterval
+           && state.sinceConfirmed > policy.confirmInterval;
 }
 
-bool isConfirmationOverdue(const FreshnessPolicy &policy,
-                           const ConfirmationState &situation) noexcept
+bool isConfirmationOverdue(const FreshnessPolicy &policy, const ConfirmationState &state) noexcept
 {
-    const auto turn = static_cast<std::int64_t>(std::min(situation.rank, maxRank));
-    return situation.sinceConfirmed
-           > policy.confirmInterval + situation.responseTimeout + updateDelay + turn * rankStep;
+    const auto rank = static_cast<std::int64_t>(std::min(state.rank, maxRank));
+    return state.sinceConfirmed
+           > policy.confirmInterval + state.responseTimeout + updateDelay + rank * delayPerRank;
 }
 
 } // namespace plantainswitch
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// \returns the fields of a member that a snapshot holds.
-Heartbeat lasting(const Heartbeat &member)
+Heartbeat snapshotFieldsOf(const Heartbeat &member)
 {
     Heartbeat result;
     result.id = member.id;
@@ -19,15 +19,15 @@
     return result;
 }
 
-bool lastsSame(const Heartbeat &listed, const Heartbeat &member)
+bool hasSameSnapshotFields(const Heartbeat &isListed, const Heartbeat &member)
 {
-    return listed.incarnation == member.incarnation && listed.leaving == member.leaving
-           && listed.dataCentre == member.dataCentre
-           && listed.datagramEndpoint == member.datagramEndpoint
-           && listed.rpcEndpoint == member.rpcEndpoint;
+    return isListed.incarnation == member.incarnation && isListed.leaving == member.leaving
+           && isListed.dataCentre == member.dataCentre
+           && isListed.datagramEndpoint == member.datagramEndpoint
+           && isListed.rpcEndpoint == member.rpcEndpoint;
 }
 
-bool isBefore(const Heartbeat &first, const Heartbeat &second)
+bool isLessById(const Heartbeat &first, const Heartbeat &second)
 {
     return first.id < second.id;
 }
@@ -37,16 +37,16 @@
     return member.state != MemberState::Gone && !member.heartbeat.leaving;
 }
 
-bool isListed(const Heartbeat &own)
+bool isSelfActive(const Heartbeat &own)
 {
     return !own.id.empty() && !own.leaving;
 }
 
 /// \returns the member with that id if it is active, else null.
-const Heartbeat *activeOf(const SwimState &state, const std::string &id)
+const Heartbeat *findActive(const SwimState &state, const std::string &id)
 {
     if (id == state.own.id) {
-        return isListed(state.own) ? &state.own : nullptr;
+        return isSelfActive(state.own) ? &state.own : nullptr;
     }
     const auto found = state.members.find(id);
     return found != state.members.end() && isActive(found->second) ? &found->second.heartbeat
@@ -122,14 +122,15 @@
     if (!this->snapshot) {
         return;
     }
-    const Heartbeat *member = activeOf(this->state, id);
-    Heartbeat wanted;
-    wanted.id = id;
+    const Heartbeat *member = findActive(this->state, id);
+    Heartbeat key;
+    key.id = id;
     const auto found =
-        std::lower_bound(this->snapshot->begin(), this->snapshot->end(), wanted, isBefore);
-    const bool listed = found != this->snapshot->end() && found->id == id;
-    const bool holds = member == nullptr ? !listed : listed && lastsSame(*found, *member);
-    if (!holds) {
+        std::lower_bound(this->snapshot->begin(), this->snapshot->end(), key, isLessById);
+    const bool isListed = found != this->snapshot->end() && found->id == id;
+    const bool isCurrent =
+        member == nullptr ? !isListed : isListed && hasSameSnapshotFields(*found, *member);
+    if (!isCurrent) {
         this->snapshot.reset();
     }
 }
@@ -140,18 +141,18 @@
     if (this->snapshot) {
         return this->snapshot;
     }
-    auto made = std::make_shared<std::vector<Heartbeat>>();
-    made->reserve(this->state.members.size() + 1);
-    if (isListed(this->state.own)) {
-        made->push_back(lasting(this->state.own));
+    auto rebuilt = std::make_shared<std::vector<Heartbeat>>();
+    rebuilt->reserve(this->state.members.size() + 1);
+    if (isSelfActive(this->state.own)) {
+        rebuilt->push_back(snapshotFieldsOf(this->state.own));
     }
     for (const auto &[id, member] : this->state.members) {
         if (isActive(member)) {
-            made->push_back(lasting(member.heartbeat));
+            rebuilt->push_back(snapshotFieldsOf(member.heartbeat));
         }
     }
-    std::sort(made->begin(), made->end(), isBefore);
-    this->snapshot = std::move(made);
+    std::sort(rebuilt->begin(), rebuilt->end(), isLessById);
+    this->snapshot = std::move(rebuilt);
     return this->snapshot;
 }
 
@@ -168,7 +169,7 @@
             result.push_back(member.heartbeat);
         }
     }
-    std::sort(result.begin(), result.end(), isBefore);
+    std::sort(result.begin(), result.end(), isLessById);
     return result;
 }
 
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -18,9 +18,9 @@
                                 std::string_view{"gone"}};
 
 /// Members in one JoinReply message, which keeps it below the longest datagram.
-constexpr std::size_t membersInState = 10;
+constexpr std::size_t maxMembersPerJoinReply = 10;
 
-void answerNewcomer(SwimState &state, const Endpoint &to, SwimOutput &output)
+void sendJoinReply(SwimState &state, const Endpoint &to, SwimOutput &output)
 {
     SwimMessage message;
     message.kind = SwimKind::JoinReply;
@@ -30,7 +30,7 @@
             continue;
         }
         message.updates.push_back({member.heartbeat, MemberState::Alive});
-        if (message.updates.size() == membersInState) {
+        if (message.updates.size() == maxMembersPerJoinReply) {
             output.sends.push_back({to, message});
             message.updates.clear();
         }
@@ -73,9 +73,9 @@
         sendProbe(state, settings, nextProbeTarget(state, state.remoteProbeOrder, false), now,
                   output);
     }
-    const bool alone = std::none_of(state.members.begin(), state.members.end(),
-                                    [](const auto &each) { return isLive(each.second); });
-    if (alone || state.periodCount % settings.seedPingInterval == 0) {
+    const bool isAlone = std::none_of(state.members.begin(), state.members.end(),
+                                      [](const auto &each) { return isLive(each.second); });
+    if (isAlone || state.periodCount % settings.seedPingInterval == 0) {
         pingSeed(state, settings, seeds, output);
     }
     ++state.periodCount;
@@ -89,21 +89,21 @@
     if (message.sender.id == state.own.id) {
         return output;
     }
-    std::vector<GossipUpdate> news;
-    handleSenderHeartbeat(state, settings, message.sender, now, output, news);
+    std::vector<GossipUpdate> updates;
+    handleSenderHeartbeat(state, settings, message.sender, now, output, updates);
     for (const MemberUpdate &update : message.updates) {
         if (message.kind == SwimKind::JoinReply && update.member.id != state.own.id) {
             applyUpdate(state, update, now, output);
         } else {
-            handleUpdate(state, settings, update, now, output, news);
+            handleUpdate(state, settings, update, now, output, updates);
         }
     }
-    sendGossip(state, settings, news, output);
+    sendGossip(state, settings, updates, output);
     switch (message.kind) {
     case SwimKind::Ping:
         output.sends.push_back({from, makeAck(state, settings, message.probe)});
         if (message.join) {
-            answerNewcomer(state, from, output);
+            sendJoinReply(state, from, output);
         }
         break;
     case SwimKind::Ack:
--- a/src/membership/swimgossip.cpp
+++ b/src/membership/swimgossip.cpp
@@ -15,19 +15,20 @@
     return std::make_tuple(update.member.incarnation, update.member.refutation, update.state);
 }
 
-std::vector<MemberUpdate> takeRumours(SwimState &state, std::size_t most)
+std::vector<MemberUpdate> takeRumoursToSend(SwimState &state, std::size_t maxCount)
 {
-    std::vector<SwimState::Rumour *> freshest;
+    std::vector<SwimState::Rumour *> byRemainingSends;
     for (auto &[id, rumour] : state.rumours) {
-        freshest.push_back(&rumour);
+        byRemainingSends.push_back(&rumour);
     }
-    std::stable_sort(freshest.begin(), freshest.end(), [](const auto *first, const auto *second) {
-        return first->remainingSends > second->remainingSends;
-    });
+    std::stable_sort(byRemainingSends.begin(), byRemainingSends.end(),
+                     [](const auto *first, const auto *second) {
+                         return first->remainingSends > second->remainingSends;
+                     });
     std::vector<MemberUpdate> result;
-    for (std::size_t index = 0; index < std::min(most, freshest.size()); ++index) {
-        result.push_back(freshest[index]->update);
-        --freshest[index]->remainingSends;
+    for (std::size_t index = 0; index < std::min(maxCount, byRemainingSends.size()); ++index) {
+        result.push_back(byRemainingSends[index]->update);
+        --byRemainingSends[index]->remainingSends;
     }
     std::erase_if(state.rumours, [](const auto &each) { return each.second.remainingSends == 0; });
     return result;
@@ -37,16 +38,16 @@
 /// coordinator role away while it serves; a higher refutation number overrides the rumour
 /// everywhere.
 void refute(SwimState &state, const SwimSettings &settings, const MemberUpdate &update,
-            std::vector<GossipUpdate> &news)
+            std::vector<GossipUpdate> &updates)
 {
     if (update.member.incarnation != state.own.incarnation || update.state == MemberState::Alive
         || update.member.refutation < state.own.refutation) {
         return;
     }
     state.own.refutation = update.member.refutation + 1;
-    const MemberUpdate denial{state.own, MemberState::Alive};
-    enqueueRumour(state, settings, denial);
-    news.push_back({denial, update.state == MemberState::Gone});
+    const MemberUpdate refutation{state.own, MemberState::Alive};
+    enqueueRumour(state, settings, refutation);
+    updates.push_back({refutation, update.state == MemberState::Gone});
 }
 
 void reportChange(const Member *known, const MemberUpdate &update, SwimOutput &output)
@@ -72,11 +73,12 @@
     return member.state != MemberState::Gone;
 }
 
-std::vector<Heartbeat> activeMembersIn(const SwimState &state, const std::string &place)
+std::vector<Heartbeat> activeMembersIn(const SwimState &state, const std::string &dataCentre)
 {
     std::vector<Heartbeat> result{state.own};
     for (const auto &[id, member] : state.members) {
-        if (isLive(member) && !member.heartbeat.leaving && member.heartbeat.dataCentre == place) {
+        if (isLive(member) && !member.heartbeat.leaving
+            && member.heartbeat.dataCentre == dataCentre) {
             result.push_back(member.heartbeat);
         }
     }
@@ -89,13 +91,13 @@
                      activeMembersIn(state, state.own.dataCentre));
 }
 
-std::vector<const Member *> sampleMembers(SwimState &state, bool ownPlace, std::size_t count,
+std::vector<const Member *> sampleMembers(SwimState &state, bool sameDataCentre, std::size_t count,
                                           const std::string &except)
 {
     std::vector<const Member *> candidates;
     for (const auto &[id, member] : state.members) {
         if (isLive(member) && id != except
-            && (member.heartbeat.dataCentre == state.own.dataCentre) == ownPlace) {
+            && (member.heartbeat.dataCentre == state.own.dataCentre) == sameDataCentre) {
             candidates.push_back(&member);
         }
     }
@@ -118,33 +120,33 @@
     message.kind = kind;
     message.probe = probe;
     message.sender = state.own;
-    message.updates = takeRumours(state, settings.maxUpdatesPerMessage);
+    message.updates = takeRumoursToSend(state, settings.maxUpdatesPerMessage);
     return message;
 }
 
 void sendGossip(SwimState &state, const SwimSettings &settings,
-                const std::vector<GossipUpdate> &news, SwimOutput &output)
+                const std::vector<GossipUpdate> &updates, SwimOutput &output)
 {
-    if (news.empty()) {
+    if (updates.empty()) {
         return;
     }
     SwimMessage local;
     local.sender = state.own;
-    SwimMessage across = local;
-    for (const GossipUpdate &each : news) {
+    SwimMessage remote = local;
+    for (const GossipUpdate &each : updates) {
         local.updates.push_back(each.update);
         if (each.crossDataCentre) {
-            across.updates.push_back(each.update);
+            remote.updates.push_back(each.update);
         }
     }
     for (const Member *member : sampleMembers(state, true, settings.localFanout, "")) {
         output.sends.push_back({member->heartbeat.datagramEndpoint, local});
     }
-    if (across.updates.empty() || !gossipsAcrossDataCentres(state)) {
+    if (remote.updates.empty() || !gossipsAcrossDataCentres(state)) {
         return;
     }
     for (const Member *member : sampleMembers(state, false, settings.remoteFanout, "")) {
-        output.sends.push_back({member->heartbeat.datagramEndpoint, across});
+        output.sends.push_back({member->heartbeat.datagramEndpoint, remote});
     }
 }
 
@@ -171,39 +173,39 @@
 }
 
 void handleUpdate(SwimState &state, const SwimSettings &settings, const MemberUpdate &update,
-                  TimePoint now, SwimOutput &output, std::vector<GossipUpdate> &news)
+                  TimePoint now, SwimOutput &output, std::vector<GossipUpdate> &updates)
 {
     if (update.member.id == state.own.id) {
-        refute(state, settings, update, news);
+        refute(state, settings, update, updates);
         return;
     }
-    const bool elsewhere = update.member.dataCentre != state.own.dataCentre;
-    if (elsewhere && update.state == MemberState::Suspect) {
+    const bool isRemote = update.member.dataCentre != state.own.dataCentre;
+    if (isRemote && update.state == MemberState::Suspect) {
         // Refutations don't leave their data centre. A router elsewhere that accepted the suspicion
         // would declare the member gone although it has refuted.
         return;
     }
     const auto known = state.members.find(update.member.id);
-    const bool wide = known == state.members.end() || !isLive(known->second)
-                      || known->second.heartbeat.incarnation != update.member.incarnation
-                      || known->second.heartbeat.leaving != update.member.leaving
-                      || update.state == MemberState::Gone;
+    const bool crossDataCentre = known == state.members.end() || !isLive(known->second)
+                                 || known->second.heartbeat.incarnation != update.member.incarnation
+                                 || known->second.heartbeat.leaving != update.member.leaving
+                                 || update.state == MemberState::Gone;
     if (!applyUpdate(state, update, now, output)) {
         return;
     }
-    if (!wide && elsewhere) {
+    if (!crossDataCentre && isRemote) {
         return;
     }
     enqueueRumour(state, settings, update);
     if (update.state != MemberState::Suspect) {
-        news.push_back({update, wide});
+        updates.push_back({update, crossDataCentre});
     }
 }
 
 void handleSenderHeartbeat(SwimState &state, const SwimSettings &settings, const Heartbeat &from,
-                           TimePoint now, SwimOutput &output, std::vector<GossipUpdate> &news)
+                           TimePoint now, SwimOutput &output, std::vector<GossipUpdate> &updates)
 {
-    handleUpdate(state, settings, {from, MemberState::Alive}, now, output, news);
+    handleUpdate(state, settings, {from, MemberState::Alive}, now, output, updates);
     const auto found = state.members.find(from.id);
     if (found == state.members.end() || found->second.heartbeat.incarnation != from.incarnation) {
         return;
@@ -211,9 +213,9 @@
     Member &member = found->second;
     if (member.state == MemberState::Gone || member.heartbeat.refutation > from.refutation) {
         // The sender is alive, but others have been told that it is gone: it has to refute.
-        SwimMessage told = makeMessage(state, settings, SwimKind::Gossip, 0);
-        told.updates = {{member.heartbeat, member.state}};
-        output.sends.push_back({from.datagramEndpoint, std::move(told)});
+        SwimMessage reply = makeMessage(state, settings, SwimKind::Gossip, 0);
+        reply.updates = {{member.heartbeat, member.state}};
+        output.sends.push_back({from.datagramEndpoint, std::move(reply)});
         return;
     }
     member.heartbeat = from;
--- a/src/membership/swimprobes.cpp
+++ b/src/membership/swimprobes.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-void suspect(SwimState &state, const SwimSettings &settings, const std::string &id, TimePoint now,
-             SwimOutput &output)
+void markSuspect(SwimState &state, const SwimSettings &settings, const std::string &id,
+                 TimePoint now, SwimOutput &output)
 {
     const auto found = state.members.find(id);
     if (found == state.members.end() || found->second.state != MemberState::Alive) {
@@ -24,22 +24,22 @@
     }
 }
 
-void askOthers(SwimState &state, const SwimSettings &settings, SwimState::Probe &probe,
-               std::uint32_t number, SwimOutput &output)
+void sendIndirectProbes(SwimState &state, const SwimSettings &settings, SwimState::Probe &probe,
+                        std::uint32_t number, SwimOutput &output)
 {
     probe.isIndirect = true;
     const auto target = state.members.find(probe.target);
     if (target == state.members.end()) {
         return;
     }
-    auto helpers = sampleMembers(state, true, settings.indirectProbes, probe.target);
-    if (helpers.empty()) {
-        helpers = sampleMembers(state, false, settings.indirectProbes, probe.target);
+    auto relays = sampleMembers(state, true, settings.indirectProbes, probe.target);
+    if (relays.empty()) {
+        relays = sampleMembers(state, false, settings.indirectProbes, probe.target);
     }
-    for (const Member *helper : helpers) {
+    for (const Member *relay : relays) {
         SwimMessage message = makeMessage(state, settings, SwimKind::PingRequest, number);
         message.target = target->second.heartbeat.datagramEndpoint;
-        output.sends.push_back({helper->heartbeat.datagramEndpoint, std::move(message)});
+        output.sends.push_back({relay->heartbeat.datagramEndpoint, std::move(message)});
     }
 }
 
@@ -88,9 +88,9 @@
     });
     for (const std::string &id : state.locallySuspected) {
         const Member &member = state.members.at(id);
-        SwimMessage told = makeMessage(state, settings, SwimKind::Ping, 0);
-        told.updates.insert(told.updates.begin(), {member.heartbeat, member.state});
-        output.sends.push_back({member.heartbeat.datagramEndpoint, std::move(told)});
+        SwimMessage ping = makeMessage(state, settings, SwimKind::Ping, 0);
+        ping.updates.insert(ping.updates.begin(), {member.heartbeat, member.state});
+        output.sends.push_back({member.heartbeat.datagramEndpoint, std::move(ping)});
     }
 }
 
@@ -100,12 +100,12 @@
     for (auto each = state.probes.begin(); each != state.probes.end();) {
         SwimState::Probe &probe = each->second;
         if (now >= probe.deadline) {
-            suspect(state, settings, probe.target, now, output);
+            markSuspect(state, settings, probe.target, now, output);
             each = state.probes.erase(each);
             continue;
         }
         if (!probe.isIndirect && now >= probe.ackDeadline) {
-            askOthers(state, settings, probe, each->first, output);
+            sendIndirectProbes(state, settings, probe, each->first, output);
         }
         ++each;
     }
@@ -118,18 +118,18 @@
     if (!state.hasSuspectOrGone) {
         return;
     }
-    std::vector<GossipUpdate> news;
+    std::vector<GossipUpdate> updates;
     for (const auto &[id, member] : state.members) {
         if (member.state == MemberState::Suspect
             && now - member.since >= settings.suspicionTimeout) {
-            news.push_back({{member.heartbeat, MemberState::Gone}, true});
+            updates.push_back({{member.heartbeat, MemberState::Gone}, true});
         }
     }
-    for (const GossipUpdate &each : news) {
+    for (const GossipUpdate &each : updates) {
         applyUpdate(state, each.update, now, output);
         enqueueRumour(state, settings, each.update);
     }
-    sendGossip(state, settings, news, output);
+    sendGossip(state, settings, updates, output);
     std::erase_if(state.members, [&](const auto &each) {
         return each.second.state == MemberState::Gone
                && now - each.second.since >= settings.goneRetention;
@@ -139,13 +139,13 @@
                     [](const auto &each) { return each.second.state != MemberState::Alive; });
 }
 
-std::string nextProbeTarget(SwimState &state, std::vector<std::string> &order, bool ownPlace)
+std::string nextProbeTarget(SwimState &state, std::vector<std::string> &order, bool sameDataCentre)
 {
     while (true) {
         if (order.empty()) {
             for (const auto &[id, member] : state.members) {
                 if (isLive(member)
-                    && (member.heartbeat.dataCentre == state.own.dataCentre) == ownPlace) {
+                    && (member.heartbeat.dataCentre == state.own.dataCentre) == sameDataCentre) {
                     order.push_back(id);
                 }
             }
@@ -178,18 +178,18 @@
 void pingSeed(SwimState &state, const SwimSettings &settings, const std::set<Endpoint> &seeds,
               SwimOutput &output)
 {
-    std::set<Endpoint> strangers = seeds;
-    strangers.erase(state.own.datagramEndpoint);
-    bool alone = true;
+    std::set<Endpoint> unknownSeeds = seeds;
+    unknownSeeds.erase(state.own.datagramEndpoint);
+    bool isAlone = true;
     for (const auto &[id, member] : state.members) {
         if (isLive(member)) {
-            strangers.erase(member.heartbeat.datagramEndpoint);
-            alone = false;
+            unknownSeeds.erase(member.heartbeat.datagramEndpoint);
+            isAlone = false;
         }
     }
     std::vector<Endpoint> chosen;
-    std::sample(strangers.begin(), strangers.end(), std::back_inserter(chosen),
-                alone ? settings.localFanout : std::size_t{1}, state.random);
+    std::sample(unknownSeeds.begin(), unknownSeeds.end(), std::back_inserter(chosen),
+                isAlone ? settings.localFanout : std::size_t{1}, state.random);
     for (const Endpoint &seed : chosen) {
         SwimMessage message = makeMessage(state, settings, SwimKind::Ping, 0);
         message.join = state.periodCount <= 2 * settings.seedPingInterval;
--- a/src/membership/swimprobes.h
+++ b/src/membership/swimprobes.h
@@ -37,7 +37,7 @@
                     SwimOutput &output);
 
 /// \returns the next member to probe, round-robin in an order that is shuffled for each round.
-std::string nextProbeTarget(SwimState &state, std::vector<std::string> &order, bool ownPlace);
+std::string nextProbeTarget(SwimState &state, std::vector<std::string> &order, bool sameDataCentre);
 
 /// Pings \a target, unless it is empty, and awaits its Ack.
 void sendProbe(SwimState &state, const SwimSettings &settings, const std::string &target,
--- a/src/membership/vm.cpp
+++ b/src/membership/vm.cpp
@@ -42,11 +42,11 @@
     }
     Endpoint endpoint{std::string(text.substr(0, colon)), 0};
     const char *const end = text.data() + text.size();
-    const auto [rest, fault] = std::from_chars(text.data() + colon + 1, end, endpoint.port);
+    const auto [parsedEnd, error] = std::from_chars(text.data() + colon + 1, end, endpoint.port);
     in6_addr parsed{};
     const bool isAddress = inet_pton(AF_INET, endpoint.host.c_str(), &parsed) == 1
                            || inet_pton(AF_INET6, endpoint.host.c_str(), &parsed) == 1;
-    if (!isAddress || fault != std::errc{} || rest != end || endpoint.port == 0) {
+    if (!isAddress || error != std::errc{} || parsedEnd != end || endpoint.port == 0) {
         return std::nullopt;
     }
     return endpoint;
--- a/src/membership/vmlist.cpp
+++ b/src/membership/vmlist.cpp
@@ -9,62 +9,62 @@
 namespace {
 
 /// Gone records older than the newest version by more than this are forgotten.
-constexpr std::uint64_t goneMilliseconds = 3'600'000;
+constexpr std::uint64_t goneRetentionMilliseconds = 3'600'000;
 
-std::uint32_t hashOfLine(const VmRecord &line) noexcept
+std::uint32_t hashOfRecord(const VmRecord &record) noexcept
 {
-    const std::uint64_t hash = mixHash(hashOf(line.vm.id), line.version);
+    const std::uint64_t hash = mixHash(hashOf(record.vm.id), record.version);
     return static_cast<std::uint32_t>(hash);
 }
 
-bool isShrunk(const VmPollState &polls, const VmList &known, std::size_t polled)
+bool isSuspiciouslyShort(const VmPollState &polls, const VmList &known, std::size_t polled)
 {
     if (polled == 0) {
         return true;
     }
-    const auto live = std::count_if(known.records.begin(), known.records.end(),
-                                    [](const auto &each) { return !each.second.gone; });
-    return polled * 2 < static_cast<std::size_t>(live) && polls.shortPolls < minShortPolls;
+    const auto liveCount = std::count_if(known.records.begin(), known.records.end(),
+                                         [](const auto &each) { return !each.second.gone; });
+    return polled * 2 < static_cast<std::size_t>(liveCount) && polls.shortPolls < minShortPolls;
 }
 
 /// \returns whether the VM \a id, which differs from the shared list, is to be accepted.
-bool isSettled(VmPollState &polls, const std::string &id, bool changedHere)
+bool isAccepted(VmPollState &polls, const std::string &id, bool changeSeenHere)
 {
-    const bool settled = changedHere || ++polls.differingPolls[id] >= minDifferingPolls;
-    if (settled) {
+    const bool accepted = changeSeenHere || ++polls.differingPolls[id] >= minDifferingPolls;
+    if (accepted) {
         polls.differingPolls.erase(id);
     }
-    return settled;
+    return accepted;
 }
 
-void takeSeen(VmPollState &polls, const VmList &known, const std::map<std::string, Vm> &seen,
-              std::vector<VmRecord> &changed)
+void collectChanged(VmPollState &polls, const VmList &known, const std::map<std::string, Vm> &seen,
+                    std::vector<VmRecord> &changed)
 {
     for (const auto &[id, vm] : seen) {
-        const auto line = known.records.find(id);
-        if (line != known.records.end() && !line->second.gone && line->second.vm == vm) {
+        const auto record = known.records.find(id);
+        if (record != known.records.end() && !record->second.gone && record->second.vm == vm) {
             polls.differingPolls.erase(id);
             continue;
         }
-        const auto before = polls.previous.find(id);
-        const bool unknown = line == known.records.end();
-        const bool changedHere =
-            !polls.previous.empty() && (before == polls.previous.end() || before->second != vm);
-        if (isSettled(polls, id, unknown || changedHere)) {
+        const auto previous = polls.previous.find(id);
+        const bool isUnknown = record == known.records.end();
+        const bool changeSeenHere =
+            !polls.previous.empty() && (previous == polls.previous.end() || previous->second != vm);
+        if (isAccepted(polls, id, isUnknown || changeSeenHere)) {
             changed.push_back({vm, 0, false});
         }
     }
 }
 
-void takeMissing(VmPollState &polls, const VmList &known, const std::map<std::string, Vm> &seen,
+void collectGone(VmPollState &polls, const VmList &known, const std::map<std::string, Vm> &seen,
                  std::vector<VmRecord> &changed)
 {
-    for (const auto &[id, line] : known.records) {
-        if (line.gone || seen.contains(id)) {
+    for (const auto &[id, record] : known.records) {
+        if (record.gone || seen.contains(id)) {
             continue;
         }
-        if (isSettled(polls, id, polls.previous.contains(id))) {
-            changed.push_back({line.vm, 0, true});
+        if (isAccepted(polls, id, polls.previous.contains(id))) {
+            changed.push_back({record.vm, 0, true});
         }
     }
 }
@@ -79,8 +79,8 @@
         seen[vm.id] = vm;
     }
     std::vector<VmRecord> changed;
-    takeSeen(polls, known, seen, changed);
-    if (isShrunk(polls, known, seen.size())) {
+    collectChanged(polls, known, seen, changed);
+    if (isSuspiciouslyShort(polls, known, seen.size())) {
         ++polls.shortPolls;
         // Missing VMs stay among the previous ones and are examined when the list is complete
         // again.
@@ -89,39 +89,39 @@
         }
     } else {
         polls.shortPolls = 0;
-        takeMissing(polls, known, seen, changed);
+        collectGone(polls, known, seen, changed);
         polls.previous = std::move(seen);
     }
-    std::uint64_t stamp = std::max(wallMilliseconds, known.version + 1);
-    for (VmRecord &line : changed) {
-        line.version = stamp++;
+    std::uint64_t version = std::max(wallMilliseconds, known.version + 1);
+    for (VmRecord &record : changed) {
+        record.version = version++;
     }
     return changed;
 }
 
-std::size_t mergeRecords(VmList &list, const std::vector<VmRecord> &lines)
+std::size_t mergeRecords(VmList &list, const std::vector<VmRecord> &records)
 {
-    std::size_t taken = 0;
-    for (const VmRecord &line : lines) {
-        VmRecord &known = list.records[line.vm.id];
-        if (known.version < line.version) {
-            known = line;
-            list.version = std::max(list.version, line.version);
-            ++taken;
+    std::size_t accepted = 0;
+    for (const VmRecord &record : records) {
+        VmRecord &known = list.records[record.vm.id];
+        if (known.version < record.version) {
+            known = record;
+            list.version = std::max(list.version, record.version);
+            ++accepted;
         }
     }
     std::erase_if(list.records, [&list](const auto &each) {
-        return each.second.gone && each.second.version + goneMilliseconds < list.version;
+        return each.second.gone && each.second.version + goneRetentionMilliseconds < list.version;
     });
-    return taken;
+    return accepted;
 }
 
-std::vector<VmRecord> recordsNewerThan(const VmList &list, std::uint64_t stamp)
+std::vector<VmRecord> recordsNewerThan(const VmList &list, std::uint64_t version)
 {
     std::vector<VmRecord> result;
-    for (const auto &[id, line] : list.records) {
-        if (line.version > stamp) {
-            result.push_back(line);
+    for (const auto &[id, record] : list.records) {
+        if (record.version > version) {
+            result.push_back(record);
         }
     }
     return result;
@@ -130,9 +130,9 @@
 std::vector<Vm> vmsOf(const VmList &list)
 {
     std::vector<Vm> result;
-    for (const auto &[id, line] : list.records) {
-        if (!line.gone) {
-            result.push_back(line.vm);
+    for (const auto &[id, record] : list.records) {
+        if (!record.gone) {
+            result.push_back(record.vm);
         }
     }
     return result;
@@ -141,8 +141,8 @@
 std::uint32_t digestOf(const VmList &list) noexcept
 {
     std::uint32_t digest = 0;
-    for (const auto &[id, line] : list.records) {
-        digest ^= line.gone ? 0 : hashOfLine(line);
+    for (const auto &[id, record] : list.records) {
+        digest ^= record.gone ? 0 : hashOfRecord(record);
     }
     return digest;
 }
@@ -151,24 +151,24 @@
                                std::uint64_t wallMilliseconds)
 {
     const RankedLock lock(this->mutex);
-    const std::size_t taken =
+    const std::size_t accepted =
         mergeRecords(this->list, detectVmChanges(polls, this->list, polled, wallMilliseconds));
     this->currentDigest = digestOf(this->list);
-    return taken;
+    return accepted;
 }
 
-std::size_t VmTable::merge(const std::vector<VmRecord> &lines)
+std::size_t VmTable::merge(const std::vector<VmRecord> &records)
 {
     const RankedLock lock(this->mutex);
-    const std::size_t taken = mergeRecords(this->list, lines);
+    const std::size_t accepted = mergeRecords(this->list, records);
     this->currentDigest = digestOf(this->list);
-    return taken;
+    return accepted;
 }
 
-std::vector<VmRecord> VmTable::recordsSince(std::uint64_t stamp) const
+std::vector<VmRecord> VmTable::recordsSince(std::uint64_t version) const
 {
     const RankedLock lock(this->mutex);
-    return recordsNewerThan(this->list, stamp);
+    return recordsNewerThan(this->list, version);
 }
 
 std::vector<Vm> VmTable::vms() const
--- a/src/membership/watchers.cpp
+++ b/src/membership/watchers.cpp
@@ -14,19 +14,19 @@
 
 } // namespace
 
-std::vector<Heartbeat> watchersOf(std::string_view place, const std::vector<Heartbeat> &active,
+std::vector<Heartbeat> watchersOf(std::string_view dataCentre, const std::vector<Heartbeat> &active,
                                   std::size_t count)
 {
     std::vector<const Heartbeat *> local;
     std::vector<Candidate> candidates;
     for (const Heartbeat &member : active) {
-        if (member.dataCentre == place && !member.leaving) {
+        if (member.dataCentre == dataCentre && !member.leaving) {
             local.push_back(&member);
             candidates.push_back({hashOf(member.id), 1.0});
         }
     }
     std::vector<Heartbeat> result;
-    for (const std::size_t index : rendezvousOrder(hashOf(place, watchSeed), candidates)) {
+    for (const std::size_t index : rendezvousOrder(hashOf(dataCentre, watchSeed), candidates)) {
         if (result.size() == count) {
             break;
         }
@@ -35,18 +35,19 @@
     return result;
 }
 
-bool isWatcher(std::string_view id, std::string_view place, const std::vector<Heartbeat> &active)
+bool isWatcher(std::string_view id, std::string_view dataCentre,
+               const std::vector<Heartbeat> &active)
 {
-    return watchRank(id, place, active).has_value();
+    return watchRank(id, dataCentre, active).has_value();
 }
 
-std::optional<std::size_t> watchRank(std::string_view id, std::string_view place,
+std::optional<std::size_t> watchRank(std::string_view id, std::string_view dataCentre,
                                      const std::vector<Heartbeat> &active, std::size_t count)
 {
-    const std::vector<Heartbeat> watchers = watchersOf(place, active, count);
-    const bool alone = std::none_of(watchers.begin(), watchers.end(),
-                                    [id](const Heartbeat &each) { return each.id != id; });
-    if (alone) {
+    const std::vector<Heartbeat> watchers = watchersOf(dataCentre, active, count);
+    const bool isAlone = std::none_of(watchers.begin(), watchers.end(),
+                                      [id](const Heartbeat &each) { return each.id != id; });
+    if (isAlone) {
         return 0;
     }
     const auto found = std::find_if(watchers.begin(), watchers.end(),
@@ -57,14 +58,14 @@
     return static_cast<std::size_t>(found - watchers.begin());
 }
 
-bool shouldWatch(const WatchConditions &situation) noexcept
+bool shouldWatch(const WatchConditions &conditions) noexcept
 {
-    if (situation.isChosenWatcher) {
+    if (conditions.isChosenWatcher) {
         return true;
     }
-    const bool yields = situation.isPlatformBusy && !situation.knowsUpstreams
-                        && situation.knowsOthers && situation.sinceStart < startupBackoff;
-    return situation.sinceServedRouter >= watchTakeoverDelay && !yields;
+    const bool backsOff = conditions.isPlatformBusy && !conditions.knowsUpstreams
+                          && conditions.knowsOthers && conditions.sinceStart < startupBackoff;
+    return conditions.sinceServedRouter >= watchTakeoverDelay && !backsOff;
 }
 
 } // namespace plantainswitch
--- a/src/observe/event.cpp
+++ b/src/observe/event.cpp
@@ -88,7 +88,7 @@
     return nlohmann::json(value).dump(-1, ' ', true, nlohmann::json::error_handler_t::replace);
 }
 
-bool isPlain(const std::string &value) noexcept
+bool isUnquoted(const std::string &value) noexcept
 {
     return !value.empty() && std::all_of(value.begin(), value.end(), [](unsigned char c) {
         return c > ' ' && c < 0x7f && c != '"' && c != '=' && c != '\\';
@@ -138,7 +138,7 @@
     line.append(" node=").append(node);
     for (const LogField &field : fields) {
         line.append(" ").append(field.first).append("=");
-        line.append(isPlain(field.second) ? field.second : quoted(field.second));
+        line.append(isUnquoted(field.second) ? field.second : quoted(field.second));
     }
     return line;
 }
--- a/src/observe/linebuffer.cpp
+++ b/src/observe/linebuffer.cpp
@@ -6,10 +6,10 @@
 
 bool LineBuffer::push(Severity severity, std::string_view line)
 {
-    const std::size_t waiting = this->bytes.size() - this->begin + line.size();
-    const std::size_t most =
+    const std::size_t pendingBytes = this->bytes.size() - this->begin + line.size();
+    const std::size_t limit =
         severity < Severity::Warning ? this->limits.maxOrdinaryBytes : this->limits.maxBytes;
-    if (waiting > most) {
+    if (pendingBytes > limit) {
         ++this->dropped;
         return false;
     }
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -23,7 +23,7 @@
 {
     std::atomic<bool> started = false;
     LogFormat format = LogFormat::KeyValue;
-    Severity least = Severity::Info;
+    Severity minSeverity = Severity::Info;
     std::string node;
     LineWriter writer;
 };
@@ -42,7 +42,7 @@
     namespace expressions = boost::log::expressions;
     LogState &log = state();
     log.format = settings.format;
-    log.least = settings.level;
+    log.minSeverity = settings.level;
     log.node = std::move(node);
     auto backend = boost::make_shared<sinks::text_ostream_backend>();
     backend->add_stream(boost::shared_ptr<std::ostream>(&std::clog, [](std::ostream *) {}));
@@ -67,7 +67,7 @@
 {
     LogState &log = state();
     log.format = settings.format;
-    log.least = settings.level;
+    log.minSeverity = settings.level;
     log.node = std::move(node);
     log.writer = std::move(writer);
     log.started = true;
@@ -84,7 +84,7 @@
 {
     const LogState &log = state();
     const EventRow &row = eventRow(event);
-    if (!log.started || row.severity < log.least) {
+    if (!log.started || row.severity < log.minSeverity) {
         return;
     }
     if (log.writer) {
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -56,16 +56,16 @@
 constexpr std::size_t errorKinds = static_cast<std::size_t>(ErrorKind::Internal) + 1;
 /// Histogram edges run from 0.1 ms to 100 s, four per factor of ten.
 constexpr unsigned binCount = 24;
-constexpr double leastSeconds = 1e-4;
-constexpr double mostSeconds = 100.0;
+constexpr double minSeconds = 1e-4;
+constexpr double maxSeconds = 100.0;
 
 namespace bh = boost::histogram;
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
-using Histogram = decltype(bh::make_histogram(Axis(binCount, leastSeconds, mostSeconds)));
+using Histogram = decltype(bh::make_histogram(Axis(binCount, minSeconds, maxSeconds)));
 
 struct Series
 {
-    Histogram histogram = bh::make_histogram(Axis(binCount, leastSeconds, mostSeconds));
+    Histogram histogram = bh::make_histogram(Axis(binCount, minSeconds, maxSeconds));
     double sum = 0;
     std::uint64_t count = 0;
     TimePoint last;
@@ -84,7 +84,7 @@
 };
 using SentByKind = std::array<Sent, controlNames.size()>;
 
-bool isOfClass(const SeriesKey &key)
+bool isClassSeries(const SeriesKey &key)
 {
     return std::get<1>(key).empty();
 }
@@ -92,7 +92,7 @@
 std::string nameOfSeries(const SeriesKey &key)
 {
     std::string name(prefix);
-    name += isOfClass(key) ? "class_" : "";
+    name += isClassSeries(key) ? "class_" : "";
     name += timingNames.at(static_cast<std::size_t>(std::get<Timing>(key)));
     return name;
 }
@@ -101,13 +101,13 @@
 {
     const auto &[timing, workspace, dataClass] = key;
     const std::string ofClass = "class=\"" + dataClass + "\"";
-    return isOfClass(key) ? ofClass : "workspace=\"" + workspace + "\"," + ofClass;
+    return isClassSeries(key) ? ofClass : "workspace=\"" + workspace + "\"," + ofClass;
 }
 
 /// Upper edges of the bins in the text format of scrapers.
 std::array<std::string, binCount> edgeTexts()
 {
-    const Axis axis(binCount, leastSeconds, mostSeconds);
+    const Axis axis(binCount, minSeconds, maxSeconds);
     std::array<std::string, binCount> texts;
     for (unsigned bin = 0; bin < binCount; ++bin) {
         std::ostringstream out;
@@ -120,8 +120,8 @@
 template<typename Number>
 void appendNumber(std::string &page, Number number)
 {
-    constexpr std::size_t longestNumber = 32;
-    std::array<char, longestNumber> digits{};
+    constexpr std::size_t maxNumberLength = 32;
+    std::array<char, maxNumberLength> digits{};
     const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), number).ptr;
     page.append(digits.data(), end);
     page += '\n';
@@ -160,54 +160,54 @@
     appendNumber(page, series.count);
 }
 
-using Chosen = std::vector<const SeriesMap::value_type *>;
+using SeriesList = std::vector<const SeriesMap::value_type *>;
 
 /// Series selected for one page.
-struct PageChoice
+struct PageSelection
 {
-    Chosen series;
+    SeriesList series;
     std::size_t idle = 0;
     std::size_t beyondBound = 0;
 };
 
 /// Selects the busiest of \a active, which all have the same timing. Counts only grow, so the
 /// selection changes seldom from page to page.
-void keepBusiest(Chosen &active, PageChoice &choice)
+void selectBusiest(SeriesList &active, PageSelection &selection)
 {
     if (active.size() > maxWorkspacesOnPage) {
         const auto end = active.begin() + static_cast<std::ptrdiff_t>(maxWorkspacesOnPage);
         std::nth_element(active.begin(), end, active.end(), [](const auto *one, const auto *other) {
             return one->second.count > other->second.count;
         });
-        choice.beyondBound += active.size() - maxWorkspacesOnPage;
+        selection.beyondBound += active.size() - maxWorkspacesOnPage;
         active.resize(maxWorkspacesOnPage);
         std::sort(active.begin(), active.end(),
                   [](const auto *one, const auto *other) { return one->first < other->first; });
     }
-    choice.series.insert(choice.series.end(), active.begin(), active.end());
+    selection.series.insert(selection.series.end(), active.begin(), active.end());
     active.clear();
 }
 
-PageChoice chooseSeries(const SeriesMap &all, TimePoint now)
+PageSelection selectSeries(const SeriesMap &all, TimePoint now)
 {
-    PageChoice choice;
-    Chosen active;
+    PageSelection selection;
+    SeriesList active;
     auto timing = Timing::FirstByte;
     for (const auto &each : all) {
         if (std::get<Timing>(each.first) != timing) {
-            keepBusiest(active, choice);
+            selectBusiest(active, selection);
             timing = std::get<Timing>(each.first);
         }
-        if (isOfClass(each.first)) {
-            choice.series.push_back(&each);
+        if (isClassSeries(each.first)) {
+            selection.series.push_back(&each);
         } else if (now - each.second.last > idleSeriesAge) {
-            ++choice.idle;
+            ++selection.idle;
         } else {
             active.push_back(&each);
         }
     }
-    keepBusiest(active, choice);
-    return choice;
+    selectBusiest(active, selection);
+    return selection;
 }
 
 void appendType(std::string &page, std::string_view name, std::string_view type)
@@ -319,15 +319,15 @@
 
 void Metrics::renderTimings(std::string &page, TimePoint now) const
 {
-    PageChoice choice;
+    PageSelection selection;
     {
         const RankedLock lock(this->state->mutex);
-        choice = chooseSeries(this->state->series, now);
+        selection = selectSeries(this->state->series, now);
     }
-    renderGauge(page, "series_idle", choice.idle);
-    renderGauge(page, "series_beyond_bound", choice.beyondBound);
+    renderGauge(page, "series_idle", selection.idle);
+    renderGauge(page, "series_beyond_bound", selection.beyondBound);
     std::string group;
-    for (const auto *each : choice.series) {
+    for (const auto *each : selection.series) {
         if (const std::string name = nameOfSeries(each->first); name != group) {
             group = name;
             appendType(page, name, "histogram");
--- a/src/observe/pausedetector.cpp
+++ b/src/observe/pausedetector.cpp
@@ -8,8 +8,8 @@
 {
     Pause pause;
     if (this->hasTicked) {
-        const Duration beyond = (uptime - this->lastUptime) - (now - this->lastNow);
-        pause.frozen = std::chrono::duration_cast<Milliseconds>(std::max(beyond, Duration{0}));
+        const Duration unaccounted = (uptime - this->lastUptime) - (now - this->lastNow);
+        pause.frozen = std::chrono::duration_cast<Milliseconds>(std::max(unaccounted, Duration{0}));
         pause.late = std::chrono::duration_cast<Milliseconds>(
             std::max<Duration>(now - this->expected, Duration{0}));
     }
--- a/src/observe/timeline.cpp
+++ b/src/observe/timeline.cpp
@@ -17,7 +17,7 @@
 constexpr double microsecondsInMillisecond = 1000.0;
 constexpr std::string_view timeField = "time=";
 
-std::int64_t numberOf(std::string_view text)
+std::int64_t parseNumber(std::string_view text)
 {
     std::int64_t number = 0;
     std::from_chars(text.data(), text.data() + text.size(), number);
@@ -78,7 +78,7 @@
     return pairs;
 }
 
-std::string take(std::map<std::string, std::string> &pairs, const std::string &key)
+std::string extract(std::map<std::string, std::string> &pairs, const std::string &key)
 {
     const auto found = pairs.find(key);
     if (found == pairs.end()) {
@@ -96,7 +96,7 @@
 }
 
 /// \returns the name of the state that a line changes, or an empty text.
-std::string subjectOf(const LogLine &line)
+std::string changedStateOf(const LogLine &line)
 {
     if (isEvent(line, {Event::Started})) {
         return "its start";
@@ -121,7 +121,7 @@
     return {};
 }
 
-bool isOfUpstream(const LogLine &line)
+bool namesUpstream(const LogLine &line)
 {
     return !line.valueOf("upstream").empty();
 }
@@ -137,7 +137,7 @@
     return text;
 }
 
-std::string milliseconds(std::int64_t microseconds)
+std::string formatMilliseconds(std::int64_t microseconds)
 {
     std::array<char, 32> text{};
     const int size = std::snprintf(text.data(), text.size(), "%10.1f ms",
@@ -146,34 +146,36 @@
 }
 
 /// What to examine next, by the kind of refusal or the outcome.
-struct Hint
+struct NextStep
 {
     std::string_view outcome;
     std::string_view next;
 };
 
-constexpr std::array hints{
-    Hint{"unauthorized", "the configuration's version: was the key known, or already taken away?"},
-    Hint{"not-found", "the configuration's version: is the route in it?"},
-    Hint{"no-catalogue", "the router's start and its store: it knew no configuration yet"},
-    Hint{"upstream-unreachable", "the list entries and health of the service's upstreams"},
-    Hint{"queue-expired", "the pauses between the steps: no upstream took it in time"},
-    Hint{"overloaded", "the upstreams that turned it away, and their load"},
-    Hint{"quarantined", "the upstreams that crashed on the same request (events 550)"},
-    Hint{"deadline-exceeded", "the last upstream's health: it was silent until the time was over"},
-    Hint{"upstream-failed", "the last upstream: it broke off, and a repeat was not allowed"},
-    Hint{"failed-upstream", "the upstream's own log: it answered with a failure"},
-    Hint{"cut", "the last upstream, and the retry budget (event 417)"},
-    Hint{"cut-by-stop", "the router's stop: its grace was over"},
-    Hint{"caller-gone", "nothing here: the caller left"},
+constexpr std::array nextSteps{
+    NextStep{"unauthorized",
+             "the configuration's version: was the key known, or already taken away?"},
+    NextStep{"not-found", "the configuration's version: is the route in it?"},
+    NextStep{"no-catalogue", "the router's start and its store: it knew no configuration yet"},
+    NextStep{"upstream-unreachable", "the list entries and health of the service's upstreams"},
+    NextStep{"queue-expired", "the pauses between the steps: no upstream took it in time"},
+    NextStep{"overloaded", "the upstreams that turned it away, and their load"},
+    NextStep{"quarantined", "the upstreams that crashed on the same request (events 550)"},
+    NextStep{"deadline-exceeded",
+             "the last upstream's health: it was silent until the time was over"},
+    NextStep{"upstream-failed", "the last upstream: it broke off, and a repeat was not allowed"},
+    NextStep{"failed-upstream", "the upstream's own log: it answered with a failure"},
+    NextStep{"cut", "the last upstream, and the retry budget (event 417)"},
+    NextStep{"cut-by-stop", "the router's stop: its grace was over"},
+    NextStep{"caller-gone", "nothing here: the caller left"},
 };
 
-std::string_view hintFor(const RequestTimeline &story)
+std::string_view nextStepFor(const RequestTimeline &timeline)
 {
-    for (auto step = story.steps.rbegin(); step != story.steps.rend(); ++step) {
-        for (const Hint &hint : hints) {
-            if (step->valueOf("kind") == hint.outcome || step->valueOf("outcome") == hint.outcome) {
-                return hint.next;
+    for (auto step = timeline.steps.rbegin(); step != timeline.steps.rend(); ++step) {
+        for (const NextStep &each : nextSteps) {
+            if (step->valueOf("kind") == each.outcome || step->valueOf("outcome") == each.outcome) {
+                return each.next;
             }
         }
     }
@@ -196,17 +198,17 @@
     }
     line.remove_prefix(at + timeField.size());
     LogLine read;
-    read.time = numberOf(line);
+    read.time = parseNumber(line);
     const std::size_t space = line.find(' ');
     if (read.time <= 0 || space == std::string_view::npos) {
         return std::nullopt;
     }
     line.remove_prefix(space + 1);
     auto pairs = line.starts_with('{') ? readJson(line) : readPairs(line);
-    read.event = static_cast<unsigned>(numberOf(take(pairs, "event")));
-    read.name = take(pairs, "name");
-    read.node = take(pairs, "node");
-    take(pairs, "severity");
+    read.event = static_cast<unsigned>(parseNumber(extract(pairs, "event")));
+    read.name = extract(pairs, "name");
+    read.node = extract(pairs, "node");
+    extract(pairs, "severity");
     read.fields = std::move(pairs);
     if (read.event == 0 || read.name.empty()) {
         return std::nullopt;
@@ -219,7 +221,7 @@
     if (line.valueOf("request") == this->request) {
         this->steps.push_back(line);
     }
-    if (!subjectOf(line).empty()) {
+    if (!changedStateOf(line).empty()) {
         this->stateChanges.push_back(std::move(line));
     }
 }
@@ -229,54 +231,55 @@
     const auto isEarlier = [](const LogLine &left, const LogLine &right) {
         return left.time < right.time;
     };
-    RequestTimeline told;
-    told.steps = this->steps;
-    std::stable_sort(told.steps.begin(), told.steps.end(), isEarlier);
+    RequestTimeline result;
+    result.steps = this->steps;
+    std::stable_sort(result.steps.begin(), result.steps.end(), isEarlier);
     // By router: the time until which state is relevant. Also the upstreams that the request was
     // sent to.
     std::map<std::string, std::int64_t> ends;
     std::set<std::string> upstreams;
-    for (const LogLine &step : told.steps) {
+    for (const LogLine &step : result.steps) {
         ends[step.node] = std::max(ends[step.node], step.time);
         upstreams.insert(step.valueOf("upstream"));
     }
     std::map<std::pair<std::string, std::string>, LogLine> last;
     for (const LogLine &change : this->stateChanges) {
         const auto end = ends.find(change.node);
-        const bool matters =
+        const bool isRelevant =
             end != ends.end() && change.time <= end->second
-            && (!isOfUpstream(change) || upstreams.contains(change.valueOf("upstream")));
-        if (!matters) {
+            && (!namesUpstream(change) || upstreams.contains(change.valueOf("upstream")));
+        if (!isRelevant) {
             continue;
         }
-        const auto [known, isNew] = last.try_emplace({change.node, subjectOf(change)}, change);
+        const auto [known, isNew] = last.try_emplace({change.node, changedStateOf(change)}, change);
         if (!isNew && known->second.time <= change.time) {
             known->second = change;
         }
     }
     for (auto &[key, line] : last) {
-        told.knownState.push_back(std::move(line));
+        result.knownState.push_back(std::move(line));
     }
-    std::stable_sort(told.knownState.begin(), told.knownState.end(), isEarlier);
-    return told;
+    std::stable_sort(result.knownState.begin(), result.knownState.end(), isEarlier);
+    return result;
 }
 
-std::string formatTimeline(const RequestTimeline &story)
+std::string formatTimeline(const RequestTimeline &timeline)
 {
-    if (story.steps.empty()) {
+    if (timeline.steps.empty()) {
         return "no line names this request\n";
     }
-    const std::int64_t begin = story.steps.front().time;
+    const std::int64_t begin = timeline.steps.front().time;
     std::string text = "what happened, since the first line\n";
-    for (const LogLine &step : story.steps) {
-        text += milliseconds(step.time - begin) + "  " + step.node + "  " + textOf(step) + "\n";
+    for (const LogLine &step : timeline.steps) {
+        text +=
+            formatMilliseconds(step.time - begin) + "  " + step.node + "  " + textOf(step) + "\n";
     }
     text += "what its routers believed, and how old that was\n";
-    for (const LogLine &belief : story.knownState) {
-        text += milliseconds(begin - belief.time) + "  " + belief.node + "  " + subjectOf(belief)
-                + ": " + textOf(belief) + "\n";
+    for (const LogLine &known : timeline.knownState) {
+        text += formatMilliseconds(begin - known.time) + "  " + known.node + "  "
+                + changedStateOf(known) + ": " + textOf(known) + "\n";
     }
-    const std::string_view next = hintFor(story);
+    const std::string_view next = nextStepFor(timeline);
     if (!next.empty()) {
         text.append("look next at ").append(next).append("\n");
     }
--- a/src/orders/lease.cpp
+++ b/src/orders/lease.cpp
@@ -4,70 +4,70 @@
 
 namespace {
 
-bool isHeld(const LeaseState &watch, TimePoint now) noexcept
+bool isHeld(const LeaseState &state, TimePoint now) noexcept
 {
-    return watch.heldVersion.has_value() && now < watch.heldUntil;
+    return state.heldVersion.has_value() && now < state.heldUntil;
 }
 
 } // namespace
 
-void observeLease(LeaseState &watch, const std::optional<LeaseObject> &object,
+void observeLease(LeaseState &state, const std::optional<LeaseObject> &object,
                   const std::string &self, TimePoint now)
 {
     const std::uint64_t version = object ? object->version : 0;
-    if (!watch.observed || watch.observed->version != version) {
-        watch.observedSince = now;
+    if (!state.observed || state.observed->version != version) {
+        state.observedSince = now;
     }
-    watch.observed = object.value_or(LeaseObject{});
-    const bool lost = watch.heldVersion && (watch.observed->holder != self);
-    if (lost) {
-        watch.heldVersion.reset();
+    state.observed = object.value_or(LeaseObject{});
+    const bool isLost = state.heldVersion && (state.observed->holder != self);
+    if (isLost) {
+        state.heldVersion.reset();
     }
 }
 
-LeaseDecision decideLease(const LeaseState &watch, const std::string &self,
+LeaseDecision decideLease(const LeaseState &state, const std::string &self,
                           const LeaseSettings &settings, TimePoint now)
 {
-    if (!watch.observed) {
+    if (!state.observed) {
         return {};
     }
-    const std::uint64_t version = watch.observed->version;
-    if (isHeld(watch, now)) {
-        return now - watch.renewedAt < settings.renewInterval
+    const std::uint64_t version = state.observed->version;
+    if (isHeld(state, now)) {
+        return now - state.renewedAt < settings.renewInterval
                    ? LeaseDecision{}
                    : LeaseDecision{LeaseAction::Renew, version};
     }
     // This router's own object without a held lease: a write whose response was lost, or a lease
     // that expired during a pause. Nobody else acquired it, so the condition decides.
-    const bool free = version == 0 || watch.observed->holder == self
-                      || now - watch.observedSince >= settings.leaseDuration;
-    return free ? LeaseDecision{LeaseAction::Acquire, version} : LeaseDecision{};
+    const bool isFree = version == 0 || state.observed->holder == self
+                        || now - state.observedSince >= settings.leaseDuration;
+    return isFree ? LeaseDecision{LeaseAction::Acquire, version} : LeaseDecision{};
 }
 
-void recordLeaseWrite(LeaseState &watch, const std::string &self, std::uint64_t version,
+void recordLeaseWrite(LeaseState &state, const std::string &self, std::uint64_t version,
                       const LeaseSettings &settings, TimePoint sentAt)
 {
-    const bool continued = isHeld(watch, sentAt);
-    watch.observed = LeaseObject{self, version};
-    watch.observedSince = sentAt;
-    watch.heldVersion = version;
-    watch.heldUntil = sentAt + settings.leaseDuration;
-    watch.renewedAt = sentAt;
-    if (!continued) {
-        watch.acquiredAt = sentAt;
+    const bool wasHeld = isHeld(state, sentAt);
+    state.observed = LeaseObject{self, version};
+    state.observedSince = sentAt;
+    state.heldVersion = version;
+    state.heldUntil = sentAt + settings.leaseDuration;
+    state.renewedAt = sentAt;
+    if (!wasHeld) {
+        state.acquiredAt = sentAt;
     }
 }
 
-std::optional<std::uint64_t> currentFencingToken(const LeaseState &watch, bool enginesCheck,
+std::optional<std::uint64_t> currentFencingToken(const LeaseState &state, bool enginesCheck,
                                                  const LeaseSettings &settings, TimePoint now)
 {
-    if (!isHeld(watch, now)) {
+    if (!isHeld(state, now)) {
         return std::nullopt;
     }
-    if (!enginesCheck && now - watch.acquiredAt < settings.maxProcessPause) {
+    if (!enginesCheck && now - state.acquiredAt < settings.maxProcessPause) {
         return std::nullopt;
     }
-    return watch.heldVersion;
+    return state.heldVersion;
 }
 
 } // namespace plantainswitch
--- a/src/placement/chataffinity.cpp
+++ b/src/placement/chataffinity.cpp
@@ -21,15 +21,15 @@
                                           : std::optional<ChatLocation>(*found->second);
 }
 
-std::vector<std::uint64_t> ChatAffinityCache::mostRecent(std::size_t most) const
+std::vector<std::uint64_t> ChatAffinityCache::mostRecent(std::size_t maxCount) const
 {
     std::vector<std::uint64_t> result;
-    result.reserve(std::min(most, this->recency.size()));
-    for (const ChatLocation &place : this->recency) {
-        if (result.size() == most) {
+    result.reserve(std::min(maxCount, this->recency.size()));
+    for (const ChatLocation &location : this->recency) {
+        if (result.size() == maxCount) {
             break;
         }
-        result.push_back(place.chat);
+        result.push_back(location.chat);
     }
     return result;
 }
--- a/src/placement/chathints.cpp
+++ b/src/placement/chathints.cpp
@@ -10,14 +10,15 @@
 namespace {
 
 /// Appends hints on the last of \a chats, up to \a datagrams messages, and removes these chats.
-void takeLast(std::vector<ChatHints> &result, std::vector<std::uint64_t> &chats,
-              std::size_t datagrams, bool moved, ShardId shard, const ChatAffinityCache &memory)
+void takeHintsFromBack(std::vector<ChatHints> &result, std::vector<std::uint64_t> &chats,
+                       std::size_t datagrams, bool moved, ShardId shard,
+                       const ChatAffinityCache &affinity)
 {
     for (std::size_t count = 0; count < datagrams && !chats.empty(); ++count) {
         ChatHints hints{shard, moved, {}};
         while (!chats.empty() && hints.chats.size() < maxChatsPerHintMessage) {
-            if (const auto place = memory.peek(chats.back())) {
-                hints.chats.push_back({chats.back(), place->latest});
+            if (const auto location = affinity.peek(chats.back())) {
+                hints.chats.push_back({chats.back(), location->latest});
             }
             chats.pop_back();
         }
@@ -27,9 +28,9 @@
     }
 }
 
-std::vector<std::uint64_t> olderChats(const ChatAffinityCache &memory)
+std::vector<std::uint64_t> chatsToHandOver(const ChatAffinityCache &affinity)
 {
-    std::vector<std::uint64_t> result = memory.mostRecent(maxHandedOverChats);
+    std::vector<std::uint64_t> result = affinity.mostRecent(maxHandedOverChats);
     std::reverse(result.begin(), result.end());
     return result;
 }
@@ -45,13 +46,13 @@
     }
 }
 
-void recordPeerCoordinator(HintOutbox &outbox, const Endpoint &from, TimePoint now)
+void recordPeerCoordinator(HintOutbox &outbox, const Endpoint &sender, TimePoint now)
 {
     std::erase_if(outbox.peerCoordinators,
                   [now](const auto &each) { return now - each.second >= summaryLifetime; });
-    if (outbox.peerCoordinators.contains(from)
+    if (outbox.peerCoordinators.contains(sender)
         || outbox.peerCoordinators.size() < maxPeerCoordinators) {
-        outbox.peerCoordinators[from] = now;
+        outbox.peerCoordinators[sender] = now;
     }
 }
 
@@ -66,49 +67,49 @@
             break;
         }
     }
-    for (const auto &[teller, heard] : outbox.peerCoordinators) {
-        const bool isKnown = std::find(result.begin(), result.end(), teller) != result.end();
-        if (now - heard < summaryLifetime && teller != self && !isKnown) {
-            result.push_back(teller);
+    for (const auto &[coordinator, heardAt] : outbox.peerCoordinators) {
+        const bool isListed = std::find(result.begin(), result.end(), coordinator) != result.end();
+        if (now - heardAt < summaryLifetime && coordinator != self && !isListed) {
+            result.push_back(coordinator);
         }
     }
     return result;
 }
 
 std::vector<ChatHints> takeNextHints(HintOutbox &outbox, ShardId shard,
-                                     const ChatAffinityCache &memory,
+                                     const ChatAffinityCache &affinity,
                                      const std::vector<Endpoint> &targets)
 {
-    const bool hasNew =
+    const bool hasNewTarget =
         std::any_of(targets.begin(), targets.end(), [&outbox](const Endpoint &target) {
             return std::find(outbox.lastTargets.begin(), outbox.lastTargets.end(), target)
                    == outbox.lastTargets.end();
         });
-    if (hasNew) {
-        outbox.backlog = olderChats(memory);
+    if (hasNewTarget) {
+        outbox.backlog = chatsToHandOver(affinity);
     }
     outbox.lastTargets = targets;
     std::vector<ChatHints> result;
-    takeLast(result, outbox.movedChats, 1, true, shard, memory);
-    takeLast(result, outbox.backlog, handOverDatagramsPerSecond, false, shard, memory);
+    takeHintsFromBack(result, outbox.movedChats, 1, true, shard, affinity);
+    takeHintsFromBack(result, outbox.backlog, handOverDatagramsPerSecond, false, shard, affinity);
     return result;
 }
 
-std::vector<ChatHints> allHints(ShardId shard, const ChatAffinityCache &memory)
+std::vector<ChatHints> allHints(ShardId shard, const ChatAffinityCache &affinity)
 {
     std::vector<ChatHints> result;
-    std::vector<std::uint64_t> chats = olderChats(memory);
-    takeLast(result, chats, maxHandedOverChats, false, shard, memory);
+    std::vector<std::uint64_t> chats = chatsToHandOver(affinity);
+    takeHintsFromBack(result, chats, maxHandedOverChats, false, shard, affinity);
     return result;
 }
 
-void applyHints(ChatAffinityCache &memory, const ChatHints &hints, std::size_t capacity)
+void applyHints(ChatAffinityCache &affinity, const ChatHints &hints, std::size_t capacity)
 {
     for (const ChatHint &hint : hints.chats) {
         // A local grant is newer than another coordinator's older knowledge. Otherwise a chat would
         // return to an engine whose cache holds less of it.
-        if (hints.moved || !memory.peek(hint.chat)) {
-            memory.record(hint.chat, hint.upstream, capacity);
+        if (hints.moved || !affinity.peek(hint.chat)) {
+            affinity.record(hint.chat, hint.upstream, capacity);
         }
     }
 }
