--- a/src/placement/coordinator.cpp
+++ b/src/placement/coordinator.cpp
@@ -35,7 +35,7 @@
     return total;
 }
 
-bool isShunned(const ShardState &state, UpstreamId id, TimePoint now)
+bool isEngineEjected(const ShardState &state, UpstreamId id, TimePoint now)
 {
     const auto found = state.ejections.find(id);
     return found != state.ejections.end() && found->second.ejectedUntil > now;
@@ -43,7 +43,7 @@
 
 /// Ejects failed engines. An engine that failed looks idle and would attract the next requests. The
 /// request's list of engines to avoid shows the failure long before the platform's list does.
-void shun(ShardState &state, const std::vector<UpstreamId> &failed, TimePoint now)
+void ejectFailed(ShardState &state, const std::vector<UpstreamId> &failed, TimePoint now)
 {
     for (const UpstreamId id : failed) {
         state.ejections[id].ejectedUntil = now + ejectionPeriod;
@@ -51,24 +51,25 @@
 }
 
 /// \returns all ready engines that are not ejected, or all ready ones if none is left.
-std::vector<UpstreamId> inService(const ShardState &state, const std::vector<UpstreamId> &ready,
-                                  TimePoint now)
+std::vector<UpstreamId> availableEngines(const ShardState &state,
+                                         const std::vector<UpstreamId> &ready, TimePoint now)
 {
     std::vector<UpstreamId> result;
     for (const UpstreamId id : ready) {
-        if (!isShunned(state, id, now)) {
+        if (!isEngineEjected(state, id, now)) {
             result.push_back(id);
         }
     }
     return result.empty() ? ready : result;
 }
 
-std::vector<Candidate> candidatesOf(const SlotRequest &ask, const std::vector<UpstreamId> &engines)
+std::vector<Candidate> candidatesOf(const SlotRequest &request,
+                                    const std::vector<UpstreamId> &engines)
 {
     std::vector<Candidate> result;
     result.reserve(engines.size());
     for (const UpstreamId id : engines) {
-        if (!contains(ask.avoid, id)) {
+        if (!contains(request.avoid, id)) {
             result.push_back({id, 1.0});
         }
     }
@@ -77,19 +78,19 @@
 
 /// \returns the engines in the chat's order of preference: where it ran last, where it ran before,
 /// then by its hash.
-std::vector<UpstreamId> preferredOrder(const std::optional<ChatLocation> &place,
-                                       const SlotRequest &ask,
+std::vector<UpstreamId> preferredOrder(const std::optional<ChatLocation> &location,
+                                       const SlotRequest &request,
                                        const std::vector<Candidate> &candidates)
 {
     std::vector<UpstreamId> result;
     result.reserve(candidates.size());
-    for (const std::size_t index : rendezvousOrder(ask.chat, candidates)) {
+    for (const std::size_t index : rendezvousOrder(request.chat, candidates)) {
         result.push_back(candidates[index].id);
     }
-    if (!place) {
+    if (!location) {
         return result;
     }
-    for (const UpstreamId known : {place->previous, place->latest}) {
+    for (const UpstreamId known : {location->previous, location->latest}) {
         const auto found = std::find(result.begin(), result.end(), known);
         if (found != result.end()) {
             std::rotate(result.begin(), found, found + 1);
@@ -100,15 +101,15 @@
 
 /// Load limits at a grant: for a chat's first engine by hash, for an engine that has its prefix,
 /// and for any.
-struct Limits
+struct LoadLimits
 {
-    std::uint32_t unknown = 0;
-    std::uint32_t inner = 0;
+    std::uint32_t newChat = 0;
+    std::uint32_t affinity = 0;
     std::uint32_t hard = 0;
 };
 
-std::optional<UpstreamId> firstBelow(const ShardState &state, const std::vector<UpstreamId> &order,
-                                     std::uint32_t limit)
+std::optional<UpstreamId> firstBelowLimit(const ShardState &state,
+                                          const std::vector<UpstreamId> &order, std::uint32_t limit)
 {
     for (const UpstreamId id : order) {
         if (loadOf(state, id) < limit) {
@@ -131,55 +132,56 @@
     return *least;
 }
 
-std::optional<UpstreamId> chooseEngine(ShardState &state, const SlotRequest &ask,
+std::optional<UpstreamId> selectEngine(ShardState &state, const SlotRequest &request,
                                        const std::vector<Candidate> &candidates,
-                                       EngineSelectionRule rule, const Limits &limits)
+                                       EngineSelectionRule selectionRule, const LoadLimits &limits)
 {
-    const std::optional<ChatLocation> place = state.affinity.find(ask.chat);
-    const std::vector<UpstreamId> order = preferredOrder(place, ask, candidates);
-    if (rule == EngineSelectionRule::HashOrder) {
-        return firstBelow(state, order, limits.hard);
+    const std::optional<ChatLocation> location = state.affinity.find(request.chat);
+    const std::vector<UpstreamId> order = preferredOrder(location, request, candidates);
+    if (selectionRule == EngineSelectionRule::HashOrder) {
+        return firstBelowLimit(state, order, limits.hard);
     }
     // Moving a chat that no engine has cached costs nothing: new chats even out the load, so that
     // returning ones can stay. With spare capacity they go by hash, so that the next coordinator
     // finds them without hints.
-    if (place) {
+    if (location) {
         for (const UpstreamId id : order) {
-            const bool cached = id == place->latest || id == place->previous;
-            if (cached && loadOf(state, id) < limits.inner) {
+            const bool cached = id == location->latest || id == location->previous;
+            if (cached && loadOf(state, id) < limits.affinity) {
                 return id;
             }
         }
-    } else if (loadOf(state, order.front()) < limits.unknown) {
+    } else if (loadOf(state, order.front()) < limits.newChat) {
         return order.front();
     }
     return leastLoaded(state, order, limits.hard);
 }
 
-Limits limitsOf(const ShardState &state, const std::vector<UpstreamId> &serving,
-                const GrantContext &view, TimePoint now)
+LoadLimits loadLimitsOf(const ShardState &state, const std::vector<UpstreamId> &available,
+                        const GrantContext &context, TimePoint now)
 {
-    std::uint64_t total = totalLoad(state, serving);
-    std::size_t engines = serving.size();
-    const double ownMean = static_cast<double>(total) / static_cast<double>(engines);
-    for (const auto &[shard, part] : state.peerShards) {
-        if (now - part.receivedAt < summaryLifetime) {
+    std::uint64_t total = totalLoad(state, available);
+    std::size_t engines = available.size();
+    const double localMean = static_cast<double>(total) / static_cast<double>(engines);
+    for (const auto &[shard, peer] : state.peerShards) {
+        if (now - peer.receivedAt < summaryLifetime) {
             // The summary is up to one second old. Without the correction it would hold the bound
             // down in a surge, and every shard would overflow to the others.
-            const double risen = std::max(0.0, ownMean - part.localMeanAtReceipt) * part.engines;
-            total += part.load + static_cast<std::uint64_t>(risen);
-            engines += part.engines;
+            const double expectedRise =
+                std::max(0.0, localMean - peer.localMeanAtReceipt) * peer.engines;
+            total += peer.load + static_cast<std::uint64_t>(expectedRise);
+            engines += peer.engines;
         }
     }
-    const auto limit = [&](double multiple) {
-        LoadBoundSettings settings = view.settings;
-        settings.loadFactor = std::min(multiple, settings.loadFactor);
+    const auto limit = [&](double loadFactor) {
+        LoadBoundSettings settings = context.settings;
+        settings.loadFactor = std::min(loadFactor, settings.loadFactor);
         return loadBound(settings, total, engines);
     };
     // Only the hard bound is a guarantee and is rounded down; the other limits are preferences.
-    const std::uint32_t hard = loadBound(view.settings, total, engines, view.conservative);
-    return {std::min(limit(view.settings.newChatLoadFactor), hard),
-            std::min(limit(view.settings.affinityLoadFactor), hard), hard};
+    const std::uint32_t hard = loadBound(context.settings, total, engines, context.conservative);
+    return {std::min(limit(context.settings.newChatLoadFactor), hard),
+            std::min(limit(context.settings.affinityLoadFactor), hard), hard};
 }
 
 } // namespace
@@ -195,7 +197,7 @@
 }
 
 std::uint32_t loadBound(const LoadBoundSettings &settings, std::uint64_t total, std::size_t engines,
-                        bool careful) noexcept
+                        bool conservative) noexcept
 {
     if (engines == 0) {
         return 0;
@@ -203,37 +205,39 @@
     const double mean = static_cast<double>(total + 1) / static_cast<double>(engines);
     const double allowed = settings.loadFactor * mean;
     // The load of an even spread. Without it no engine could be granted at small loads.
-    const double even = std::floor(static_cast<double>(total) / static_cast<double>(engines)) + 1.0;
-    const double rounded = careful ? std::max(even, std::floor(allowed)) : std::ceil(allowed);
+    const double evenSpread =
+        std::floor(static_cast<double>(total) / static_cast<double>(engines)) + 1.0;
+    const double rounded =
+        conservative ? std::max(evenSpread, std::floor(allowed)) : std::ceil(allowed);
     return std::min(static_cast<std::uint32_t>(rounded), settings.capacity);
 }
 
-SlotReply grantSlot(ShardState &state, std::uint64_t router, const SlotRequest &ask,
-                    const GrantContext &view, TimePoint now)
+SlotReply grantSlot(ShardState &state, std::uint64_t router, const SlotRequest &request,
+                    const GrantContext &context, TimePoint now)
 {
-    const SlotKey key{router, ask.requestId};
+    const SlotKey key{router, request.requestId};
     const auto known = state.slots.find(key);
     if (known != state.slots.end()) {
-        return {ask.requestId, SlotVerdict::Granted, known->second.upstream};
+        return {request.requestId, SlotVerdict::Granted, known->second.upstream};
     }
-    shun(state, ask.avoid, now);
-    state.readyEngines = static_cast<std::uint32_t>(view.readyEngines.size());
-    const std::vector<UpstreamId> serving = inService(state, view.readyEngines, now);
-    const std::vector<Candidate> candidates = candidatesOf(ask, serving);
+    ejectFailed(state, request.avoid, now);
+    state.readyEngines = static_cast<std::uint32_t>(context.readyEngines.size());
+    const std::vector<UpstreamId> available = availableEngines(state, context.readyEngines, now);
+    const std::vector<Candidate> candidates = candidatesOf(request, available);
     if (candidates.empty()) {
-        return {ask.requestId, SlotVerdict::Empty, 0};
+        return {request.requestId, SlotVerdict::Empty, 0};
     }
-    const auto upstream = chooseEngine(state, ask, candidates, view.settings.selectionRule,
-                                       limitsOf(state, serving, view, now));
+    const auto upstream = selectEngine(state, request, candidates, context.settings.selectionRule,
+                                       loadLimitsOf(state, available, context, now));
     if (!upstream) {
-        return {ask.requestId, SlotVerdict::Overflow, 0};
+        return {request.requestId, SlotVerdict::Overflow, 0};
     }
     ++state.loads[*upstream];
-    state.slots.emplace(key, Slot{*upstream, ask.fingerprint, now});
-    if (state.affinity.record(ask.chat, *upstream, view.settings.maxRememberedChats)) {
-        recordMovedChat(state.hintOutbox, ask.chat);
+    state.slots.emplace(key, Slot{*upstream, request.fingerprint, now});
+    if (state.affinity.record(request.chat, *upstream, context.settings.maxRememberedChats)) {
+        recordMovedChat(state.hintOutbox, request.chat);
     }
-    return {ask.requestId, SlotVerdict::Granted, *upstream};
+    return {request.requestId, SlotVerdict::Granted, *upstream};
 }
 
 void releaseSlot(ShardState &state, const SlotKey &key)
@@ -259,11 +263,11 @@
     }
 }
 
-bool needsConservativeBound(const ShardState &state, bool own, TimePoint now) noexcept
+bool needsConservativeBound(const ShardState &state, bool isCoordinator, TimePoint now) noexcept
 {
     const bool isNew = now - state.coordinatingSince < slotLearningPeriod;
     const bool hasRival = state.rivalSeenAt && now - *state.rivalSeenAt < summaryLifetime;
-    return !own || isNew || hasRival;
+    return !isCoordinator || isNew || hasRival;
 }
 
 } // namespace plantainswitch
--- a/src/placement/coordinatortable.cpp
+++ b/src/placement/coordinatortable.cpp
@@ -12,21 +12,21 @@
     if (isNew) {
         state.shard = shard;
         state.coordinatingSince = now;
-        if (auto known = this->parked.extract(found->first)) {
-            state.affinity = std::move(known.mapped().affinity);
+        if (auto parkedAffinity = this->parked.extract(found->first)) {
+            state.affinity = std::move(parkedAffinity.mapped().affinity);
         }
     }
     state.lastUsed = now;
     return state;
 }
 
-SlotReply ShardCoordinator::grant(std::uint64_t router, const SlotRequest &ask, GrantContext view,
-                                  bool own, TimePoint now)
+SlotReply ShardCoordinator::grant(std::uint64_t router, const SlotRequest &request,
+                                  GrantContext context, bool own, TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    ShardState &state = this->findOrCreateState(ask.shard, now);
-    view.conservative = view.conservative || needsConservativeBound(state, own, now);
-    return grantSlot(state, router, ask, view, now);
+    ShardState &state = this->findOrCreateState(request.shard, now);
+    context.conservative = context.conservative || needsConservativeBound(state, own, now);
+    return grantSlot(state, router, request, context, now);
 }
 
 void ShardCoordinator::release(std::uint64_t router, const SlotRelease &release)
@@ -36,8 +36,8 @@
     if (found == this->shards.end()) {
         return;
     }
-    for (const std::uint32_t askId : release.requestIds) {
-        releaseSlot(found->second, {router, askId});
+    for (const std::uint32_t requestId : release.requestIds) {
+        releaseSlot(found->second, {router, requestId});
     }
 }
 
@@ -69,9 +69,9 @@
 void ShardCoordinator::receiveSummary(const ShardSummary &summary, TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    const ShardId told = shardIdOf(summary.shard);
+    const ShardId reportedShard = shardIdOf(summary.shard);
     for (auto &[id, state] : this->shards) {
-        if (id == told) {
+        if (id == reportedShard) {
             state.rivalSeenAt = now;
         } else if (state.shard.service == summary.shard.service
                    && state.shard.dataCentre == summary.shard.dataCentre) {
@@ -79,7 +79,7 @@
                                    ? 0.0
                                    : static_cast<double>(state.slots.size())
                                          / static_cast<double>(state.readyEngines);
-            state.peerShards[told] = {summary.load, summary.engines, now, own};
+            state.peerShards[reportedShard] = {summary.load, summary.engines, now, own};
         }
     }
 }
--- a/src/placement/plan.cpp
+++ b/src/placement/plan.cpp
@@ -25,19 +25,19 @@
     return result;
 }
 
-std::optional<PlacementPlan> planPlacement(const Authorization &admission, std::uint64_t chat,
+std::optional<PlacementPlan> planPlacement(const Authorization &authorization, std::uint64_t chat,
                                            const UpstreamTable &upstreams, TimePoint now,
                                            Reason &reason)
 {
     std::vector<Shard> shards;
     std::vector<Candidate> candidates;
-    for (const std::string &place : admission.dataCentres) {
+    for (const std::string &dataCentre : authorization.dataCentres) {
         std::map<std::uint32_t, double> engines;
-        for (const Upstream &upstream : upstreams.ready(admission.service, place, now)) {
-            engines[shardNumberOf(upstream.shortId, admission.serviceEntry.shards)] += 1.0;
+        for (const Upstream &upstream : upstreams.ready(authorization.service, dataCentre, now)) {
+            engines[shardNumberOf(upstream.shortId, authorization.serviceEntry.shards)] += 1.0;
         }
         for (const auto &[number, count] : engines) {
-            shards.push_back({admission.service, place, number});
+            shards.push_back({authorization.service, dataCentre, number});
             candidates.push_back({shardIdOf(shards.back()), count});
         }
     }
@@ -63,34 +63,34 @@
 
 std::vector<Heartbeat> coordinatorsOf(const Shard &shard, const std::vector<Heartbeat> &active)
 {
-    std::vector<const Heartbeat *> local;
+    std::vector<const Heartbeat *> eligible;
     for (const Heartbeat &member : active) {
         if (member.dataCentre == shard.dataCentre) {
-            local.push_back(&member);
+            eligible.push_back(&member);
         }
     }
-    if (local.empty()) {
+    if (eligible.empty()) {
         for (const Heartbeat &member : active) {
-            local.push_back(&member);
+            eligible.push_back(&member);
         }
     }
     std::vector<Candidate> candidates;
-    candidates.reserve(local.size());
-    for (const Heartbeat *member : local) {
+    candidates.reserve(eligible.size());
+    for (const Heartbeat *member : eligible) {
         candidates.push_back({hashOf(member->id), 1.0});
     }
     std::vector<Heartbeat> result;
-    result.reserve(local.size());
+    result.reserve(eligible.size());
     for (const std::size_t index : rendezvousOrder(shardIdOf(shard), candidates)) {
-        result.push_back(*local[index]);
+        result.push_back(*eligible[index]);
     }
     return result;
 }
 
 std::optional<Heartbeat> coordinatorOf(const Shard &shard, const std::vector<Heartbeat> &active)
 {
-    const std::vector<Heartbeat> keepers = coordinatorsOf(shard, active);
-    return keepers.empty() ? std::nullopt : std::optional(keepers.front());
+    const std::vector<Heartbeat> coordinators = coordinatorsOf(shard, active);
+    return coordinators.empty() ? std::nullopt : std::optional(coordinators.front());
 }
 
 } // namespace plantainswitch
--- a/src/placement/slotsync.cpp
+++ b/src/placement/slotsync.cpp
@@ -12,15 +12,15 @@
     for (const ListedSlot &slot : list.slots) {
         listed.emplace(slot.requestId, slot.upstream);
     }
-    std::vector<SlotKey> gone;
+    std::vector<SlotKey> unlisted;
     const auto end = state.slots.lower_bound({list.router, list.below});
     for (auto each = state.slots.lower_bound({list.router, list.from}); each != end; ++each) {
         const auto found = listed.find(each->first.second);
         if (found == listed.end() || found->second != each->second.upstream) {
-            gone.push_back(each->first);
+            unlisted.push_back(each->first);
         }
     }
-    for (const SlotKey &key : gone) {
+    for (const SlotKey &key : unlisted) {
         releaseSlot(state, key);
     }
 }
@@ -31,25 +31,25 @@
                     std::uint32_t below) noexcept
 {
     SlotDigest digest{shard, below, 0, 0};
-    for (const auto &[askId, upstream] : held) {
-        if (askId >= below) {
+    for (const auto &[requestId, upstream] : held) {
+        if (requestId >= below) {
             break;
         }
         ++digest.count;
-        digest.hash ^= mixHash(askId, upstream);
+        digest.hash ^= mixHash(requestId, upstream);
     }
     return digest;
 }
 
 bool digestDiffers(const ShardState &state, std::uint64_t router, const SlotDigest &digest)
 {
-    SlotDigest own{digest.shard, digest.below, 0, 0};
+    SlotDigest local{digest.shard, digest.below, 0, 0};
     const auto end = state.slots.lower_bound({router, digest.below});
     for (auto each = state.slots.lower_bound({router, 0}); each != end; ++each) {
-        ++own.count;
-        own.hash ^= mixHash(each->first.second, each->second.upstream);
+        ++local.count;
+        local.hash ^= mixHash(each->first.second, each->second.upstream);
     }
-    return own.count != digest.count || own.hash != digest.hash;
+    return local.count != digest.count || local.hash != digest.hash;
 }
 
 std::vector<SlotList> splitIntoLists(const Shard &shard, std::uint64_t router,
@@ -57,22 +57,22 @@
                                      std::uint32_t below)
 {
     std::vector<SlotList> result{{shard, router, 0, below, {}}};
-    for (const auto &[askId, upstream] : held) {
-        if (askId >= below) {
+    for (const auto &[requestId, upstream] : held) {
+        if (requestId >= below) {
             break;
         }
         if (result.back().slots.size() == maxSlotsPerList) {
-            result.back().below = askId;
-            result.push_back({shard, router, askId, below, {}});
+            result.back().below = requestId;
+            result.push_back({shard, router, requestId, below, {}});
         }
-        result.back().slots.push_back({askId, upstream});
+        result.back().slots.push_back({requestId, upstream});
     }
     return result;
 }
 
-void applySlotList(ShardState &state, const SlotList &list, bool whole, TimePoint now)
+void applySlotList(ShardState &state, const SlotList &list, bool isComplete, TimePoint now)
 {
-    if (whole) {
+    if (isComplete) {
         releaseUnlisted(state, list);
     }
     for (const ListedSlot &slot : list.slots) {
--- a/src/routing/crashquarantine.cpp
+++ b/src/routing/crashquarantine.cpp
@@ -8,7 +8,7 @@
 
 /// \returns whether two crashes may have one cause: the request was running on both upstreams when
 /// they went down.
-bool isOneMoment(const CrashReport &left, const CrashReport &right)
+bool haveOneCause(const CrashReport &left, const CrashReport &right)
 {
     const bool overlap = left.sentAt < right.brokenAt && right.sentAt < left.brokenAt;
     const Duration apart = left.brokenAt > right.brokenAt ? left.brokenAt - right.brokenAt
@@ -18,25 +18,25 @@
 
 } // namespace
 
-void CrashQuarantine::recordBrokenAnswer(RequestFingerprint request, std::uint64_t life,
-                                         TimePoint begunAt, TimePoint now)
+void CrashQuarantine::recordBrokenAnswer(RequestFingerprint request, std::uint64_t incarnation,
+                                         TimePoint sentAt, TimePoint now)
 {
     std::erase_if(this->brokenAnswers, [now](const auto &entry) {
         return now - entry.second.back().when > crashConfirmationWindow;
     });
-    this->brokenAnswers[life].push_back({request, begunAt, now});
+    this->brokenAnswers[incarnation].push_back({request, sentAt, now});
 }
 
-std::vector<CrashReport> CrashQuarantine::confirmCrash(std::uint64_t life, TimePoint now)
+std::vector<CrashReport> CrashQuarantine::confirmCrash(std::uint64_t incarnation, TimePoint now)
 {
     std::vector<CrashReport> reports;
-    const auto found = this->brokenAnswers.find(life);
+    const auto found = this->brokenAnswers.find(incarnation);
     if (found == this->brokenAnswers.end()) {
         return reports;
     }
     for (const BrokenAnswer &each : found->second) {
         if (now - each.when <= crashConfirmationWindow) {
-            reports.push_back({each.request, life, each.sentAt, each.when});
+            reports.push_back({each.request, incarnation, each.sentAt, each.when});
         }
     }
     this->brokenAnswers.erase(found);
@@ -55,7 +55,7 @@
     Suspect &suspect = this->suspects[report.request];
     const bool isKnown =
         std::any_of(suspect.crashes.begin(), suspect.crashes.end(), [&report](const auto &entry) {
-            return entry.first == report.incarnation || isOneMoment(entry.second, report);
+            return entry.first == report.incarnation || haveOneCause(entry.second, report);
         });
     if (isKnown) {
         return;
@@ -79,8 +79,8 @@
 bool CrashQuarantine::clearSuspect(RequestFingerprint request, TimePoint now)
 {
     const bool wasSuspected = this->suspects.erase(request) > 0;
-    const bool hadBroken = this->removeBrokenAnswers(request);
-    if (wasSuspected || hadBroken) {
+    const bool wasBroken = this->removeBrokenAnswers(request);
+    if (wasSuspected || wasBroken) {
         std::erase_if(this->answered, [now](const auto &entry) {
             return now - entry.second > crashConfirmationWindow;
         });
@@ -92,7 +92,7 @@
 bool CrashQuarantine::removeBrokenAnswers(RequestFingerprint request)
 {
     std::size_t forgotten = 0;
-    for (auto &[life, broken] : this->brokenAnswers) {
+    for (auto &[incarnation, broken] : this->brokenAnswers) {
         forgotten += std::erase_if(
             broken, [request](const BrokenAnswer &each) { return each.request == request; });
     }
@@ -114,14 +114,14 @@
 std::vector<CrashReport> CrashQuarantine::quarantinedCrashes(TimePoint now) const
 {
     std::vector<CrashReport> reports;
-    std::size_t retold = 0;
+    std::size_t shared = 0;
     for (const auto &[request, suspect] : this->suspects) {
-        if (!isInQuarantine(suspect, now) || retold == maxSharedQuarantines) {
+        if (!isInQuarantine(suspect, now) || shared == maxSharedQuarantines) {
             continue;
         }
-        ++retold;
+        ++shared;
         std::size_t crashes = 0;
-        for (const auto &[life, report] : suspect.crashes) {
+        for (const auto &[incarnation, report] : suspect.crashes) {
             if (crashes++ < quarantineThreshold) {
                 reports.push_back(report);
             }
@@ -130,7 +130,7 @@
     return reports;
 }
 
-bool CrashQuarantine::allowTrial(RequestFingerprint request, bool isFirst, TimePoint now)
+bool CrashQuarantine::allowTrial(RequestFingerprint request, bool isDesignated, TimePoint now)
 {
     const auto found = this->suspects.find(request);
     if (found == this->suspects.end()) {
@@ -138,10 +138,10 @@
     }
     Suspect &suspect = found->second;
     // A router that missed the report of the success must not quarantine the request indefinitely.
-    constexpr int laterByHolds = 2;
-    const TimePoint own =
-        suspect.quarantinedUntil + (isFirst ? Seconds{0} : laterByHolds * suspect.quarantine);
-    if (now < std::max(own, suspect.nextTrial)) {
+    constexpr int extraQuarantines = 2;
+    const TimePoint due = suspect.quarantinedUntil
+                          + (isDesignated ? Seconds{0} : extraQuarantines * suspect.quarantine);
+    if (now < std::max(due, suspect.nextTrial)) {
         return false;
     }
     suspect.nextTrial = now + suspect.quarantine;
--- a/src/routing/enginecoordinator.cpp
+++ b/src/routing/enginecoordinator.cpp
@@ -8,64 +8,64 @@
 
 /// \returns the estimated number of uncached prompt tokens. All parts are assumed to be of equal
 /// size, because the request states only their number.
-double uncachedOf(const EngineGrantRequest &question, std::size_t known)
+double uncachedTokensOf(const EngineGrantRequest &request, std::size_t cached)
 {
-    if (question.prefixHashes.empty()) {
-        return question.promptTokens;
+    if (request.prefixHashes.empty()) {
+        return request.promptTokens;
     }
-    const double share = static_cast<double>(question.prefixHashes.size() - known)
-                         / static_cast<double>(question.prefixHashes.size());
-    return share * question.promptTokens;
+    const double share = static_cast<double>(request.prefixHashes.size() - cached)
+                         / static_cast<double>(request.prefixHashes.size());
+    return share * request.promptTokens;
 }
 
 } // namespace
 
-EngineGrantReply EngineCoordinator::requestGrant(const EngineGrantRequest &question,
-                                                 std::uint32_t told, TimePoint now)
+EngineGrantReply EngineCoordinator::requestGrant(const EngineGrantRequest &request,
+                                                 std::uint32_t reported, TimePoint now)
 {
-    const auto [found, isNew] = this->engines.try_emplace(question.incarnation);
+    const auto [found, isNew] = this->engines.try_emplace(request.incarnation);
     Engine &engine = found->second;
     if (isNew) {
         engine.coordinatedSince = now;
         engine.unreadAt = now;
     }
-    const double passed = std::chrono::duration<double, std::milli>(now - engine.unreadAt).count();
+    const double elapsed = std::chrono::duration<double, std::milli>(now - engine.unreadAt).count();
     engine.pendingPrefill =
-        std::max(0.0, engine.pendingPrefill - passed * this->tokensPerMillisecond);
+        std::max(0.0, engine.pendingPrefill - elapsed * this->tokensPerMillisecond);
     engine.unreadAt = now;
-    const std::size_t known =
-        this->prefixIndex.cachedParts(question.prefixHashes, question.incarnation, now);
-    EngineGrantReply answer;
-    answer.cachedParts = static_cast<std::uint32_t>(known);
-    answer.pendingPrefillTokens = engine.pendingPrefill;
-    answer.running = static_cast<std::uint32_t>(engine.grants.size());
+    const std::size_t cached =
+        this->prefixIndex.cachedParts(request.prefixHashes, request.incarnation, now);
+    EngineGrantReply reply;
+    reply.cachedParts = static_cast<std::uint32_t>(cached);
+    reply.pendingPrefillTokens = engine.pendingPrefill;
+    reply.running = static_cast<std::uint32_t>(engine.grants.size());
     if (now - engine.coordinatedSince < takeoverPeriod) {
-        answer.running = std::max(answer.running, told);
+        reply.running = std::max(reply.running, reported);
     }
-    if (answer.running + 1.0 > question.loadBound) {
-        return answer;
+    if (reply.running + 1.0 > request.loadBound) {
+        return reply;
     }
-    answer.granted = true;
-    answer.running += 1;
-    engine.grants[{question.router, question.requestId}] = now;
-    engine.pendingPrefill += uncachedOf(question, known);
-    this->prefixIndex.recordUse(question.prefixHashes, question.incarnation, now);
-    return answer;
+    reply.granted = true;
+    reply.running += 1;
+    engine.grants[{request.router, request.requestId}] = now;
+    engine.pendingPrefill += uncachedTokensOf(request, cached);
+    this->prefixIndex.recordUse(request.prefixHashes, request.incarnation, now);
+    return reply;
 }
 
-void EngineCoordinator::releaseGrant(const std::string &router, std::uint64_t number,
-                                     std::uint64_t life)
+void EngineCoordinator::releaseGrant(const std::string &router, std::uint64_t requestId,
+                                     std::uint64_t incarnation)
 {
-    const auto engine = this->engines.find(life);
+    const auto engine = this->engines.find(incarnation);
     if (engine != this->engines.end()) {
-        engine->second.grants.erase({router, number});
+        engine->second.grants.erase({router, requestId});
     }
 }
 
-void EngineCoordinator::reconcile(const std::string &router, std::uint64_t life, std::uint32_t told,
-                                  TimePoint now)
+void EngineCoordinator::reconcile(const std::string &router, std::uint64_t incarnation,
+                                  std::uint32_t reported, TimePoint now)
 {
-    const auto engine = this->engines.find(life);
+    const auto engine = this->engines.find(incarnation);
     if (engine == this->engines.end()) {
         return;
     }
@@ -77,7 +77,7 @@
         ++counted;
         ++last;
     }
-    for (auto grant = first; counted > told && grant != last;) {
+    for (auto grant = first; counted > reported && grant != last;) {
         if (now - grant->second < orphanedGrantTimeout) {
             ++grant;
             continue;
@@ -89,7 +89,7 @@
 
 void EngineCoordinator::releaseRouter(const std::string &router)
 {
-    for (auto &[life, engine] : this->engines) {
+    for (auto &[incarnation, engine] : this->engines) {
         std::erase_if(engine.grants,
                       [&router](const auto &grant) { return grant.first.first == router; });
     }
@@ -104,14 +104,14 @@
 
 std::vector<std::uint64_t> EngineCoordinator::incarnationsGrantedTo(const std::string &router) const
 {
-    std::vector<std::uint64_t> lives;
-    for (const auto &[life, engine] : this->engines) {
+    std::vector<std::uint64_t> incarnations;
+    for (const auto &[incarnation, engine] : this->engines) {
         const auto grant = engine.grants.lower_bound({router, 0});
         if (grant != engine.grants.end() && grant->first.first == router) {
-            lives.push_back(life);
+            incarnations.push_back(incarnation);
         }
     }
-    return lives;
+    return incarnations;
 }
 
 } // namespace plantainswitch
--- a/src/routing/health.cpp
+++ b/src/routing/health.cpp
@@ -13,9 +13,9 @@
                                 std::string_view{"failed"},      std::string_view{"full"}};
 
 /// Doublings after which the ejection time has reached its maximum.
-constexpr std::uint32_t mostDoublings = 6;
+constexpr std::uint32_t maxDoublings = 6;
 
-double fadingSince(TimePoint then, TimePoint now) noexcept
+double decayFactor(TimePoint then, TimePoint now) noexcept
 {
     if (now <= then) {
         return 1.0;
@@ -25,16 +25,16 @@
     return std::exp2(-halfLives);
 }
 
-void fade(UpstreamHealth &health, TimePoint now)
+void decay(UpstreamHealth &health, TimePoint now)
 {
-    const double rest = fadingSince(health.updatedAt, now);
-    health.failureRate *= rest;
-    health.extraDelay *= rest;
+    const double factor = decayFactor(health.updatedAt, now);
+    health.failureRate *= factor;
+    health.extraDelay *= factor;
     health.updatedAt = now;
 }
 
 /// Adds a timeout to the score. \returns whether the score suffices for an ejection.
-bool raiseSuspicion(UpstreamHealth &health, TimePoint now)
+bool addTimeout(UpstreamHealth &health, TimePoint now)
 {
     const double halfLives = std::chrono::duration<double>(now - health.timeoutScoreAt)
                              / std::chrono::duration<double>(timeoutScoreHalfLife);
@@ -43,7 +43,7 @@
     return health.timeoutScore >= timeoutsForEjection;
 }
 
-bool saysDown(UpstreamFault fault) noexcept
+bool indicatesDown(UpstreamFault fault) noexcept
 {
     return fault == UpstreamFault::Unreachable || fault == UpstreamFault::ConnectionLost
            || fault == UpstreamFault::TimedOut;
@@ -56,23 +56,23 @@
     return faultNames.at(static_cast<std::size_t>(fault));
 }
 
-TimeoutCause classifyTimeout(TimePoint sentAt, TimePoint lastHeard) noexcept
+TimeoutCause classifyTimeout(TimePoint sentAt, TimePoint lastReceived) noexcept
 {
-    return lastHeard > sentAt ? TimeoutCause::Busy : TimeoutCause::Unresponsive;
+    return lastReceived > sentAt ? TimeoutCause::Busy : TimeoutCause::Unresponsive;
 }
 
 void recordFault(UpstreamHealth &health, UpstreamFault fault, TimePoint now)
 {
-    fade(health, now);
+    decay(health, now);
     if (fault != UpstreamFault::Rejected) {
         health.failureRate += outcomeWeight * (1.0 - health.failureRate);
     }
-    if (!saysDown(fault)) {
+    if (!indicatesDown(fault)) {
         return;
     }
     if (fault == UpstreamFault::TimedOut) {
         health.ownTimeoutAt = now;
-        if (!raiseSuspicion(health, now)) {
+        if (!addTimeout(health, now)) {
             return;
         }
     }
@@ -83,7 +83,7 @@
     }
     health.consecutiveConnectFailures =
         fault == UpstreamFault::Unreachable ? health.consecutiveConnectFailures + 1 : 0;
-    const std::uint32_t doublings = std::min(health.consecutiveDownFaults - 1, mostDoublings);
+    const std::uint32_t doublings = std::min(health.consecutiveDownFaults - 1, maxDoublings);
     const Milliseconds span =
         std::min<Milliseconds>(minEjectionTime * (1 << doublings), maxEjectionTime);
     health.ejectedUntil = std::max(health.ejectedUntil, now + span);
@@ -95,7 +95,7 @@
 
 void recordSuccess(UpstreamHealth &health, Duration extraDelay, TimePoint now)
 {
-    fade(health, now);
+    decay(health, now);
     health.consecutiveDownFaults = 0;
     health.timeoutScore = 0.0;
     health.consecutiveConnectFailures = 0;
@@ -115,7 +115,7 @@
 
 void recordPeerTimeout(UpstreamHealth &health, TimePoint now)
 {
-    if (raiseSuspicion(health, now)) {
+    if (addTimeout(health, now)) {
         health.ejectedUntil = std::max(health.ejectedUntil, now + minEjectionTime);
     }
 }
@@ -143,12 +143,12 @@
 
 double failureRateOf(const UpstreamHealth &health, TimePoint now) noexcept
 {
-    return health.failureRate * fadingSince(health.updatedAt, now);
+    return health.failureRate * decayFactor(health.updatedAt, now);
 }
 
 double extraDelayOf(const UpstreamHealth &health, TimePoint now) noexcept
 {
-    return health.extraDelay * fadingSince(health.updatedAt, now);
+    return health.extraDelay * decayFactor(health.updatedAt, now);
 }
 
 } // namespace plantainswitch
--- a/src/routing/peerloads.cpp
+++ b/src/routing/peerloads.cpp
@@ -17,10 +17,10 @@
 bool PeerLoads::applyUpdate(const RouterUpdate &update)
 {
     Peer &peer = this->peers[update.id];
-    const bool older =
+    const bool isStale =
         update.incarnation < peer.incarnation
         || (update.incarnation == peer.incarnation && update.sequence <= peer.sequence);
-    if (older && peer.sequence != 0) {
+    if (isStale && peer.sequence != 0) {
         return false;
     }
     this->add(peer.loads, -1);
@@ -46,9 +46,9 @@
     return found != this->peers.end() && found->second.incarnation == incarnation;
 }
 
-PeerLoads::Total PeerLoads::totalAt(std::uint64_t life) const
+PeerLoads::Total PeerLoads::totalAt(std::uint64_t incarnation) const
 {
-    const auto found = this->totals.find(life);
+    const auto found = this->totals.find(incarnation);
     return found == this->totals.end() ? Total{} : found->second;
 }
 
--- a/src/routing/preferencelist.cpp
+++ b/src/routing/preferencelist.cpp
@@ -27,15 +27,15 @@
         }
     }
     std::sort(scores.begin(), scores.end(), std::greater<>());
-    PreferenceList order;
-    order.ranks.assign(candidates.size(), scores.size());
-    for (std::size_t place = 0; place < scores.size(); ++place) {
-        order.ranks[scores[place].second] = place;
+    PreferenceList list;
+    list.ranks.assign(candidates.size(), scores.size());
+    for (std::size_t rank = 0; rank < scores.size(); ++rank) {
+        list.ranks[scores[rank].second] = rank;
     }
     if (!scores.empty()) {
-        order.home = scores.front().second;
+        list.home = scores.front().second;
     }
-    return order;
+    return list;
 }
 
 } // namespace plantainswitch
--- a/src/routing/prompt.cpp
+++ b/src/routing/prompt.cpp
@@ -20,20 +20,21 @@
 
 std::vector<std::uint64_t> prefixHashesOf(const Prompt &prompt)
 {
-    std::vector<std::uint64_t> chain;
-    chain.reserve(prompt.parts.size());
+    std::vector<std::uint64_t> prefixHashes;
+    prefixHashes.reserve(prompt.parts.size());
     std::uint64_t hash = hashOf(prompt.model);
     for (const PromptPart &part : prompt.parts) {
         hash = mixHash(hash, part.id);
-        chain.push_back(hash);
+        prefixHashes.push_back(hash);
     }
-    return chain;
+    return prefixHashes;
 }
 
-std::optional<std::uint64_t> sharedPrefixOf(std::span<const std::uint64_t> chain) noexcept
+std::optional<std::uint64_t> sharedPrefixOf(std::span<const std::uint64_t> prefixHashes) noexcept
 {
     // The last part belongs to one request or chat alone.
-    return chain.size() > 1 ? std::optional(chain[chain.size() - 2]) : std::nullopt;
+    return prefixHashes.size() > 1 ? std::optional(prefixHashes[prefixHashes.size() - 2])
+                                   : std::nullopt;
 }
 
 } // namespace plantainswitch
--- a/src/routing/reachability.cpp
+++ b/src/routing/reachability.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr std::array reachNames{std::string_view{"reachable"}, std::string_view{"unresponsive"},
-                                std::string_view{"cut-off"}};
+constexpr std::array reachabilityNames{
+    std::string_view{"reachable"}, std::string_view{"unresponsive"}, std::string_view{"cut-off"}};
 
 } // namespace
 
 std::string_view nameOf(DataCentreReachability reach) noexcept
 {
-    return reachNames.at(static_cast<std::size_t>(reach));
+    return reachabilityNames.at(static_cast<std::size_t>(reach));
 }
 
 DataCentreEvidence evidenceOf(const DataCentreContact &contact,
@@ -33,19 +33,19 @@
     return evidence;
 }
 
-Milliseconds unresponsiveTimeout(Duration updateGap) noexcept
+Milliseconds unresponsiveTimeout(Duration updateInterval) noexcept
 {
     const auto span =
-        std::chrono::duration_cast<Milliseconds>(missedUpdatesForUnresponsive * updateGap);
+        std::chrono::duration_cast<Milliseconds>(missedUpdatesForUnresponsive * updateInterval);
     return std::clamp(span, minUnresponsiveTimeout, maxUnresponsiveTimeout);
 }
 
 DataCentreReachability reachabilityOf(const DataCentreEvidence &evidence, TimePoint now) noexcept
 {
-    const bool isUnknown = evidence.lastReceived == TimePoint{};
+    const bool wasNeverReached = evidence.lastReceived == TimePoint{};
     const bool isRecent =
         now - evidence.lastReceived < unresponsiveTimeout(evidence.updateInterval);
-    if (isUnknown || isRecent || evidence.localUpdates < minLocalUpdates) {
+    if (wasNeverReached || isRecent || evidence.localUpdates < minLocalUpdates) {
         return DataCentreReachability::Reachable;
     }
     return evidence.hasConnectFailures ? DataCentreReachability::Unreachable
--- a/src/routing/replica.cpp
+++ b/src/routing/replica.cpp
@@ -35,20 +35,20 @@
         return {{change, std::move(replica)}};
     }
     Replica &old = known->second;
-    const bool reborn = old.startTime != replica.startTime;
-    const bool moved = old.endpoint != replica.endpoint || old.service != replica.service;
+    const bool isRestarted = old.startTime != replica.startTime;
+    const bool isMoved = old.endpoint != replica.endpoint || old.service != replica.service;
     // Draining is never revoked within an incarnation: a stale list may still show the upstream as
     // ready.
-    replica.draining = replica.draining || (old.draining && !reborn);
-    const bool startsLeaving = replica.draining && !old.draining;
+    replica.draining = replica.draining || (old.draining && !isRestarted);
+    const bool startsDraining = replica.draining && !old.draining;
     old = replica;
     std::vector<ReplicaEvent> events;
-    if (reborn) {
+    if (isRestarted) {
         events.push_back({ReplicaChange::Restarted, replica});
-    } else if (moved) {
+    } else if (isMoved) {
         events.push_back({ReplicaChange::Moved, replica});
     }
-    if (startsLeaving) {
+    if (startsDraining) {
         events.push_back({ReplicaChange::Draining, std::move(replica)});
     }
     return events;
@@ -80,15 +80,15 @@
 std::set<std::string> ReplicaDirectory::servicesWithMassExpiry(const std::vector<std::string> &ids,
                                                                TimePoint now)
 {
-    std::map<std::string, std::size_t> lost;
+    std::map<std::string, std::size_t> removed;
     for (const std::string &id : ids) {
         const auto known = this->replicas.find(id);
         if (known != this->replicas.end() && !known->second.draining) {
-            ++lost[known->second.service];
+            ++removed[known->second.service];
         }
     }
-    std::set<std::string> lapsed;
-    for (const auto &[service, count] : lost) {
+    std::set<std::string> expired;
+    for (const auto &[service, count] : removed) {
         auto &times = this->recentRemovals[service];
         std::erase_if(times, [now](TimePoint when) { return now - when > missingGracePeriod; });
         const auto present = std::count_if(
@@ -98,29 +98,29 @@
         const std::size_t all = count + times.size();
         const auto before = static_cast<double>(static_cast<std::size_t>(present) + times.size());
         if (all > 1 && static_cast<double>(all) > massExpiryShare * before) {
-            lapsed.insert(service);
+            expired.insert(service);
         } else {
             times.insert(times.end(), count, now);
         }
     }
-    return lapsed;
+    return expired;
 }
 
 std::vector<ReplicaEvent> ReplicaDirectory::applyRemovals(const std::vector<std::string> &ids,
                                                           TimePoint keepUntil, TimePoint now)
 {
     const bool keepsAll = keepUntil > now;
-    const std::set<std::string> lapsed =
+    const std::set<std::string> expired =
         keepsAll ? std::set<std::string>{} : this->servicesWithMassExpiry(ids, now);
     std::vector<ReplicaEvent> events;
     for (const std::string &id : ids) {
         const auto known = this->replicas.find(id);
-        const bool isLapsed =
-            known != this->replicas.end() && lapsed.contains(known->second.service);
-        auto dropped = keepsAll   ? this->markMissing(id, keepUntil)
-                       : isLapsed ? this->markMissing(id, now + this->expiryGrace)
-                                  : this->remove(id);
-        std::move(dropped.begin(), dropped.end(), std::back_inserter(events));
+        const bool isExpired =
+            known != this->replicas.end() && expired.contains(known->second.service);
+        auto changes = keepsAll    ? this->markMissing(id, keepUntil)
+                       : isExpired ? this->markMissing(id, now + this->expiryGrace)
+                                   : this->remove(id);
+        std::move(changes.begin(), changes.end(), std::back_inserter(events));
     }
     return events;
 }
@@ -136,14 +136,14 @@
             events.push_back(std::move(event));
         }
     }
-    std::vector<std::string> absent;
+    std::vector<std::string> unlisted;
     for (const auto &[id, replica] : this->replicas) {
         // Upstreams that are already missing keep their deadline.
         if (!listed.contains(id) && !this->missing.contains(id)) {
-            absent.push_back(id);
+            unlisted.push_back(id);
         }
     }
-    for (ReplicaEvent &event : this->applyRemovals(absent, keepUntil, now)) {
+    for (ReplicaEvent &event : this->applyRemovals(unlisted, keepUntil, now)) {
         events.push_back(std::move(event));
     }
     return events;
--- a/src/routing/route.cpp
+++ b/src/routing/route.cpp
@@ -11,12 +11,12 @@
 constexpr std::array kindNames{std::string_view{"idempotent"}, std::string_view{"non-idempotent"},
                                std::string_view{"streaming"}};
 
-std::string plainHost(std::string_view host)
+std::string normalizedHost(std::string_view host)
 {
-    std::string plain(host.substr(0, host.find(':')));
-    std::transform(plain.begin(), plain.end(), plain.begin(),
+    std::string normalized(host.substr(0, host.find(':')));
+    std::transform(normalized.begin(), normalized.end(), normalized.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-    return plain;
+    return normalized;
 }
 
 } // namespace
@@ -37,7 +37,7 @@
 {
     for (std::size_t i = 0; i < this->source.routes.size(); ++i) {
         const Route &route = this->source.routes[i];
-        this->byHost[plainHost(route.host)].emplace(route.pathPrefix, i);
+        this->byHost[normalizedHost(route.host)].emplace(route.pathPrefix, i);
     }
     for (std::size_t i = 0; i < this->source.workspaces.size(); ++i) {
         for (const std::string &key : this->source.workspaces[i].keys) {
@@ -51,7 +51,7 @@
 
 const Route *RoutingTable::findRoute(std::string_view host, std::string_view path) const
 {
-    const auto prefixes = this->byHost.find(plainHost(host));
+    const auto prefixes = this->byHost.find(normalizedHost(host));
     if (prefixes == this->byHost.end()) {
         return nullptr;
     }
--- a/src/routing/routercontacts.cpp
+++ b/src/routing/routercontacts.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-Milliseconds pauseFor(std::size_t routers, std::size_t few, Milliseconds longest)
+Milliseconds intervalFor(std::size_t routers, std::size_t threshold, Milliseconds maxInterval)
 {
-    const auto grown =
-        static_cast<std::int64_t>(routers) * gossipInterval / static_cast<std::int64_t>(few);
-    return std::clamp(std::chrono::duration_cast<Milliseconds>(grown), gossipInterval, longest);
+    const auto scaled =
+        static_cast<std::int64_t>(routers) * gossipInterval / static_cast<std::int64_t>(threshold);
+    return std::clamp(std::chrono::duration_cast<Milliseconds>(scaled), gossipInterval,
+                      maxInterval);
 }
 
 /// Hash key of the confirmer's election, which makes it independent of others.
@@ -63,40 +64,41 @@
 
 RouterContacts::GossipIntervals RouterContacts::gossipIntervals() const
 {
-    std::size_t near = 0;
-    std::size_t far = 0;
+    std::size_t local = 0;
+    std::size_t remote = 0;
     for (const auto &[address, contact] : this->contacts) {
         if (contact.isMember) {
-            ++(this->isLocal(contact) ? near : far);
+            ++(this->isLocal(contact) ? local : remote);
         }
     }
-    GossipIntervals rhythm;
-    rhythm.localInterval = pauseFor(near, maxFastLocalRouters, maxLocalInterval);
-    rhythm.remoteInterval = pauseFor(far, maxFastRemoteRouters, maxRemoteInterval);
-    rhythm.remoteTimeout = std::max(peerTimeout, maxMissedUpdates * rhythm.remoteInterval);
-    return rhythm;
+    GossipIntervals intervals;
+    intervals.localInterval = intervalFor(local, maxFastLocalRouters, maxLocalInterval);
+    intervals.remoteInterval = intervalFor(remote, maxFastRemoteRouters, maxRemoteInterval);
+    intervals.remoteTimeout = std::max(peerTimeout, maxMissedUpdates * intervals.remoteInterval);
+    return intervals;
 }
 
 Milliseconds RouterContacts::maxInterval() const
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
-    return std::max({rhythm.localInterval, rhythm.remoteInterval, unresponsiveInterval});
+    const GossipIntervals intervals = this->gossipIntervals();
+    return std::max({intervals.localInterval, intervals.remoteInterval, unresponsiveInterval});
 }
 
-bool RouterContacts::isAlive(const RouterContact &contact, const GossipIntervals &rhythm,
+bool RouterContacts::isAlive(const RouterContact &contact, const GossipIntervals &intervals,
                              TimePoint now) const
 {
     return contact.isMember
            && now - contact.lastSeen
-                  < (this->isLocal(contact) ? peerTimeout : rhythm.remoteTimeout);
+                  < (this->isLocal(contact) ? peerTimeout : intervals.remoteTimeout);
 }
 
 std::size_t RouterContacts::aliveCount(TimePoint now) const
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     const auto alive =
-        std::count_if(this->contacts.begin(), this->contacts.end(),
-                      [&](const auto &entry) { return this->isAlive(entry.second, rhythm, now); });
+        std::count_if(this->contacts.begin(), this->contacts.end(), [&](const auto &entry) {
+            return this->isAlive(entry.second, intervals, now);
+        });
     return static_cast<std::size_t>(alive);
 }
 
@@ -109,16 +111,17 @@
 
 std::map<std::string, DataCentreContact> RouterContacts::otherDataCentres(TimePoint now) const
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     std::map<std::string, std::int64_t> routers;
     std::map<std::string, DataCentreContact> result;
     for (const auto &[address, contact] : this->contacts) {
-        if (this->isLocal(contact) || !this->isAlive(contact, rhythm, now)) {
+        if (this->isLocal(contact) || !this->isAlive(contact, intervals, now)) {
             continue;
         }
         DataCentreContact &dataCentre = result[contact.dataCentre];
         dataCentre.lastSeen = std::max(dataCentre.lastSeen, contact.lastSeen);
-        dataCentre.updateInterval = Duration{rhythm.remoteInterval} / ++routers[contact.dataCentre];
+        dataCentre.updateInterval =
+            Duration{intervals.remoteInterval} / ++routers[contact.dataCentre];
     }
     return result;
 }
@@ -133,26 +136,26 @@
     return static_cast<std::size_t>(seen);
 }
 
-std::vector<UpdateGroup> RouterContacts::takeDueGroups(BroadcastScope wave, TimePoint now)
+std::vector<UpdateGroup> RouterContacts::takeDueGroups(BroadcastScope scope, TimePoint now)
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     // Timers fire slightly early or late: updates due before half of the next interval are sent
     // now.
     constexpr Milliseconds slack = gossipInterval / 2;
     std::map<TimePoint, std::vector<Endpoint>> groups;
     for (auto &[address, contact] : this->contacts) {
-        const bool isNear = this->isLocal(contact);
-        const bool isAlive = this->isAlive(contact, rhythm, now);
-        const Milliseconds pause = !isAlive ? unresponsiveInterval
-                                   : isNear ? rhythm.localInterval
-                                            : rhythm.remoteInterval;
-        const bool isWanted =
-            wave == BroadcastScope::All || (wave == BroadcastScope::Local && isNear);
-        const bool isSpread = isAlive && !isNear && pause > gossipInterval;
-        const bool isDue = isSpread ? isLaterPeriod(contact.lastSent, now, pause,
+        const bool isLocal = this->isLocal(contact);
+        const bool isAlive = this->isAlive(contact, intervals, now);
+        const Milliseconds interval = !isAlive  ? unresponsiveInterval
+                                      : isLocal ? intervals.localInterval
+                                                : intervals.remoteInterval;
+        const bool isInScope =
+            scope == BroadcastScope::All || (scope == BroadcastScope::Local && isLocal);
+        const bool isSpread = isAlive && !isLocal && interval > gossipInterval;
+        const bool isDue = isSpread ? isLaterPeriod(contact.lastSent, now, interval,
                                                     hashOf(this->id + address.host, address.port))
-                                    : now - contact.lastSent + slack >= pause;
-        if ((isAlive && isWanted) || isDue) {
+                                    : now - contact.lastSent + slack >= interval;
+        if ((isAlive && isInScope) || isDue) {
             groups[contact.lastSent].push_back(address);
             contact.lastSent = now;
         }
@@ -172,20 +175,20 @@
 
 std::vector<std::string> RouterContacts::removeFailed(TimePoint now)
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     std::set<std::string> failed;
     std::set<std::string> alive;
     for (auto &[address, contact] : this->contacts) {
         if (contact.isMember) {
-            contact.isMember = this->isAlive(contact, rhythm, now);
+            contact.isMember = this->isAlive(contact, intervals, now);
             (contact.isMember ? alive : failed).insert(contact.id);
         }
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> lost;
     // A router that came back at another address hasn't failed with its old one.
     std::set_difference(failed.begin(), failed.end(), alive.begin(), alive.end(),
-                        std::back_inserter(gone));
-    return gone;
+                        std::back_inserter(lost));
+    return lost;
 }
 
 void RouterContacts::removeUnresponsive(TimePoint now)
@@ -218,12 +221,12 @@
 
 std::optional<std::size_t> RouterContacts::watchRank(TimePoint now) const
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     std::vector<Heartbeat> active(1);
     active.front().id = this->id;
     active.front().dataCentre = this->dataCentre;
     for (const auto &[address, contact] : this->contacts) {
-        if (this->isAlive(contact, rhythm, now)) {
+        if (this->isAlive(contact, intervals, now)) {
             Heartbeat member;
             member.id = contact.id;
             member.dataCentre = contact.dataCentre;
@@ -238,25 +241,25 @@
 bool RouterContacts::isDesignatedFor(std::uint64_t key, TimePoint now,
                                      std::string_view except) const
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     const double own = scoreOf(key, this->id);
     return std::none_of(this->contacts.begin(), this->contacts.end(), [&](const auto &entry) {
         const RouterContact &contact = entry.second;
-        return contact.id != except && this->isAlive(contact, rhythm, now) && !contact.stopping
+        return contact.id != except && this->isAlive(contact, intervals, now) && !contact.stopping
                && scoreOf(key, contact.id) > own;
     });
 }
 
 std::size_t RouterContacts::confirmerRank(TimePoint now) const
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     const double own = scoreOf(confirmerKey, this->id);
     const auto before =
         std::count_if(this->contacts.begin(), this->contacts.end(), [&](const auto &entry) {
             const RouterContact &contact = entry.second;
-            const bool isPrompt =
-                this->isLocal(contact) || rhythm.remoteInterval <= maxConfirmerInterval;
-            return isPrompt && this->isAlive(contact, rhythm, now) && contact.storeConnected
+            const bool isTimely =
+                this->isLocal(contact) || intervals.remoteInterval <= maxConfirmerInterval;
+            return isTimely && this->isAlive(contact, intervals, now) && contact.storeConnected
                    && !contact.stopping && scoreOf(confirmerKey, contact.id) > own;
         });
     return static_cast<std::size_t>(before);
@@ -266,11 +269,11 @@
                                              TimePoint RouterContact::*confirmed,
                                              std::uint64_t known, TimePoint now) const
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     TimePoint latest;
     for (const auto &[address, contact] : this->contacts) {
         // A router with newer state confirms nothing to one with older state.
-        if (this->isAlive(contact, rhythm, now) && contact.*content <= known) {
+        if (this->isAlive(contact, intervals, now) && contact.*content <= known) {
             latest = std::max(latest, contact.*confirmed);
         }
     }
@@ -289,26 +292,26 @@
                                     &RouterContact::upstreamsConfirmed, revision, now);
 }
 
-std::optional<Endpoint> RouterContacts::coordinatorOf(std::uint64_t life,
-                                                      const std::string &enginePlace,
+std::optional<Endpoint> RouterContacts::coordinatorOf(std::uint64_t incarnation,
+                                                      const std::string &engineDataCentre,
                                                       bool isStopping, TimePoint now) const
 {
     // Prefers routers in the engine's data centre, so that a data centre that is cut off keeps the
     // counts of its own engines.
-    const GossipIntervals rhythm = this->gossipIntervals();
-    bool bestNear = enginePlace == this->dataCentre && !isStopping;
-    double highest = scoreOf(life, this->id);
+    const GossipIntervals intervals = this->gossipIntervals();
+    bool bestIsLocal = engineDataCentre == this->dataCentre && !isStopping;
+    double highest = scoreOf(incarnation, this->id);
     std::optional<Endpoint> best;
     for (const auto &[address, contact] : this->contacts) {
-        if (!this->isAlive(contact, rhythm, now) || contact.stopping) {
+        if (!this->isAlive(contact, intervals, now) || contact.stopping) {
             continue;
         }
-        const bool isNear = contact.dataCentre == enginePlace;
-        const double score = scoreOf(life, contact.id);
-        if ((isNear && !bestNear) || (isNear == bestNear && score > highest)) {
+        const bool isLocal = contact.dataCentre == engineDataCentre;
+        const double score = scoreOf(incarnation, contact.id);
+        if ((isLocal && !bestIsLocal) || (isLocal == bestIsLocal && score > highest)) {
             best = address;
             highest = score;
-            bestNear = isNear;
+            bestIsLocal = isLocal;
         }
     }
     return best;
@@ -321,42 +324,42 @@
 {
     // Each router asks a different one: if all asked the same, its slow link would be busy for
     // seconds with a large configuration. Every router that has the newer state passes it on.
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     const std::uint64_t key = hashOf(this->id, turn);
     std::optional<Endpoint> best;
-    bool bestIsNear = false;
+    bool bestIsLocal = false;
     double highest = 0.0;
     for (const auto &[address, contact] : this->contacts) {
-        const bool knowsMore =
+        const bool isNewer =
             contact.configVersion > configVersion || contact.storeRevision > storeRevision;
-        if (!knowsMore || !this->isAlive(contact, rhythm, now)) {
+        if (!isNewer || !this->isAlive(contact, intervals, now)) {
             continue;
         }
-        const bool isNear = this->isLocal(contact);
+        const bool isLocal = this->isLocal(contact);
         const double score = scoreOf(key, contact.id);
-        if (!best || (isNear && !bestIsNear) || (isNear == bestIsNear && score > highest)) {
+        if (!best || (isLocal && !bestIsLocal) || (isLocal == bestIsLocal && score > highest)) {
             best = address;
-            bestIsNear = isNear;
+            bestIsLocal = isLocal;
             highest = score;
         }
     }
     return best;
 }
 
-std::vector<Endpoint> RouterContacts::aliveSubset(std::size_t most, std::uint64_t turn,
+std::vector<Endpoint> RouterContacts::aliveSubset(std::size_t limit, std::uint64_t turn,
                                                   TimePoint now) const
 {
-    const GossipIntervals rhythm = this->gossipIntervals();
+    const GossipIntervals intervals = this->gossipIntervals();
     std::vector<Endpoint> alive;
     for (const auto &[address, contact] : this->contacts) {
-        if (this->isAlive(contact, rhythm, now)) {
+        if (this->isAlive(contact, intervals, now)) {
             alive.push_back(address);
         }
     }
-    if (alive.size() > most) {
-        const auto first = static_cast<std::ptrdiff_t>(turn * most % alive.size());
+    if (alive.size() > limit) {
+        const auto first = static_cast<std::ptrdiff_t>(turn * limit % alive.size());
         std::rotate(alive.begin(), alive.begin() + first, alive.end());
-        alive.resize(most);
+        alive.resize(limit);
     }
     return alive;
 }
--- a/src/routing/selection.cpp
+++ b/src/routing/selection.cpp
@@ -19,16 +19,16 @@
 
 /// \returns the hash that determines the request's preference list: that of the shared prefix, or
 /// of the whole prompt if it shares none.
-std::uint64_t homeKey(const SelectionRequest &request) noexcept
+std::uint64_t preferenceKey(const SelectionRequest &request) noexcept
 {
     const std::uint64_t whole = request.prefixHashes.empty() ? 0 : request.prefixHashes.back();
     return sharedPrefixOf(request.prefixHashes).value_or(whole);
 }
 
-double cachedTokens(const UpstreamState &state, bool isTrusted, const SelectionRequest &request,
-                    const PrefixIndex &memory, TimePoint now)
+double cachedTokens(const UpstreamState &state, bool isAssumedCached,
+                    const SelectionRequest &request, const PrefixIndex &memory, TimePoint now)
 {
-    if (isTrusted) {
+    if (isAssumedCached) {
         return sharedTokensOf(*request.prompt);
     }
     const std::size_t known =
@@ -42,8 +42,8 @@
 
 /// \returns a delay from 0 to policy.promptlessJitter, by the hashes of the request and of the
 /// upstream.
-double spreadDelay(const UpstreamState &state, const SelectionRequest &request,
-                   const SelectionPolicy &policy)
+double promptlessDelay(const UpstreamState &state, const SelectionRequest &request,
+                       const SelectionPolicy &policy)
 {
     constexpr std::uint64_t steps = 1024;
     const std::uint64_t step = mixHash(request.hash, hashOf(state.replica.id)) % steps;
@@ -63,7 +63,7 @@
 }
 
 /// Statistics over all usable candidates.
-struct Survey
+struct CandidateStatistics
 {
     /// Running requests above which an upstream exceeds its share.
     double bound = 0.0;
@@ -73,14 +73,14 @@
     double occupancy = 0.0;
 };
 
-Survey survey(std::span<UpstreamState *const> candidates, const SelectionPolicy &policy,
-              TimePoint now)
+CandidateStatistics collectStatistics(std::span<UpstreamState *const> candidates,
+                                      const SelectionPolicy &policy, TimePoint now)
 {
     double running = 0.0;
     double failureShares = 0.0;
     double slots = 0.0;
     std::size_t usable = 0;
-    std::size_t avoided = 0;
+    std::size_t ejected = 0;
     for (const UpstreamState *state : candidates) {
         if (state->replica.draining || connectFailureCount(state->health, now) > 0) {
             continue;
@@ -89,48 +89,49 @@
         running += runningAt(*state);
         slots += state->replica.maxConcurrency;
         failureShares += failureRateOf(state->health, now);
-        avoided += isEjected(state->health, now) ? 1 : 0;
+        ejected += isEjected(state->health, now) ? 1 : 0;
     }
     const auto count = static_cast<double>(std::max<std::size_t>(usable, 1));
     return {policy.loadBoundFactor * running / count + policy.loadBoundExtra,
-            static_cast<double>(avoided) <= policy.maxEjectedShare * count, failureShares / count,
+            static_cast<double>(ejected) <= policy.maxEjectedShare * count, failureShares / count,
             slots > 0.0 ? running / slots : 0.0};
 }
 
-double orderDelay(std::size_t place, const SelectionPolicy &policy)
+double preferenceDelay(std::size_t rank, const SelectionPolicy &policy)
 {
     const double step = policy.preferenceStepRequests * policy.performance.tokensPerRequest
                         / policy.performance.prefillRate;
-    return step * std::min(static_cast<double>(place), policy.maxPreferenceSteps);
+    return step * std::min(static_cast<double>(rank), policy.maxPreferenceSteps);
 }
 
 /// \returns whether an eligible engine is known to have the whole shared prefix cached.
-bool isKnownAnywhere(std::span<UpstreamState *const> candidates, const SelectionRequest &request,
-                     const PrefixIndex &memory, const Survey &seen, TimePoint now)
+bool isCachedAnywhere(std::span<UpstreamState *const> candidates, const SelectionRequest &request,
+                      const PrefixIndex &memory, const CandidateStatistics &statistics,
+                      TimePoint now)
 {
     const std::size_t shared = request.prefixHashes.size() - 1;
     return std::any_of(candidates.begin(), candidates.end(), [&](const UpstreamState *state) {
-        return isEligible(*state, seen.avoidanceHolds, now)
+        return isEligible(*state, statistics.avoidanceHolds, now)
                && memory.cachedParts(request.prefixHashes, incarnationOf(state->replica), now)
                       >= shared;
     });
 }
 
 /// \returns the number of leading prompt tokens that each candidate is expected to have cached.
-std::vector<double> cachedAtEach(std::span<UpstreamState *const> candidates,
-                                 std::optional<std::size_t> trustedHome,
-                                 const SelectionRequest &request, const PrefixIndex &memory,
-                                 TimePoint now)
+std::vector<double> cachedTokensOfEach(std::span<UpstreamState *const> candidates,
+                                       std::optional<std::size_t> assumedHome,
+                                       const SelectionRequest &request, const PrefixIndex &memory,
+                                       TimePoint now)
 {
     std::vector<double> cached(candidates.size(), 0.0);
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        cached[i] = cachedTokens(*candidates[i], trustedHome == i, request, memory, now);
+        cached[i] = cachedTokens(*candidates[i], assumedHome == i, request, memory, now);
     }
     return cached;
 }
 
 /// The engines from which a prompt is best transferred; the second one serves the best one itself.
-struct Donors
+struct TransferSources
 {
     std::optional<std::size_t> best;
     std::optional<std::size_t> second;
@@ -138,7 +139,7 @@
 
 /// Excludes engines that are down: a transfer from one would block the request until its timeout. A
 /// draining engine is as good as any while it runs, and its cache will soon be lost.
-bool mayBeCopiedFrom(const UpstreamState &state, const SelectionRequest &request, TimePoint now)
+bool canTransferFrom(const UpstreamState &state, const SelectionRequest &request, TimePoint now)
 {
     return !isEjected(state.health, now) && connectFailureCount(state.health, now) == 0
            && !wasTried(state.replica, request);
@@ -146,168 +147,177 @@
 
 /// \returns the engines with the most cached tokens of the prompt; among equals, those that come
 /// first in its preference list.
-Donors donorsOf(std::span<UpstreamState *const> candidates, const std::vector<double> &cached,
-                const PreferenceList &order, const SelectionRequest &request,
-                const SelectionPolicy &policy, TimePoint now)
+TransferSources transferSourcesOf(std::span<UpstreamState *const> candidates,
+                                  const std::vector<double> &cached,
+                                  const PreferenceList &preferences,
+                                  const SelectionRequest &request, const SelectionPolicy &policy,
+                                  TimePoint now)
 {
     const auto isBetter = [&](std::size_t left, std::optional<std::size_t> right) {
         return !right || cached[left] > cached[*right]
-               || (cached[left] == cached[*right] && order.ranks[left] < order.ranks[*right]);
+               || (cached[left] == cached[*right]
+                   && preferences.ranks[left] < preferences.ranks[*right]);
     };
-    const double least = breakEvenTransferTokens(policy.performance);
-    Donors donors;
+    const double minTokens = breakEvenTransferTokens(policy.performance);
+    TransferSources sources;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        if (cached[i] < least || !mayBeCopiedFrom(*candidates[i], request, now)) {
+        if (cached[i] < minTokens || !canTransferFrom(*candidates[i], request, now)) {
             continue;
         }
-        if (isBetter(i, donors.best)) {
-            donors.second = std::exchange(donors.best, i);
-        } else if (isBetter(i, donors.second)) {
-            donors.second = i;
+        if (isBetter(i, sources.best)) {
+            sources.second = std::exchange(sources.best, i);
+        } else if (isBetter(i, sources.second)) {
+            sources.second = i;
         }
     }
-    return donors;
+    return sources;
 }
 
 /// Sets how many prompt tokens the selected engine must prefill and how many it can transfer.
-void weighPrompt(UpstreamSelection &choice, const std::vector<double> &cached, const Donors &donors,
-                 const SelectionRequest &request)
+void estimatePrompt(UpstreamSelection &selection, const std::vector<double> &cached,
+                    const TransferSources &sources, const SelectionRequest &request)
 {
-    const double known = cached[choice.index];
-    choice.uncachedTokens = std::max(0.0, tokensOf(*request.prompt) - known);
-    const auto donor = donors.best == choice.index ? donors.second : donors.best;
-    if (!donor) {
+    const double known = cached[selection.index];
+    selection.uncachedTokens = std::max(0.0, tokensOf(*request.prompt) - known);
+    const auto source = sources.best == selection.index ? sources.second : sources.best;
+    if (!source) {
         return;
     }
     // Also if the engine is expected to have the whole prompt: it may have evicted parts that were
     // idle for some seconds, and a transfer of nothing costs nothing.
-    choice.transferSource = donor;
-    choice.transferredTokens = std::max(0.0, cached[*donor] - known);
-    choice.uncachedTokens -= choice.transferredTokens;
+    selection.transferSource = source;
+    selection.transferredTokens = std::max(0.0, cached[*source] - known);
+    selection.uncachedTokens -= selection.transferredTokens;
 }
 
-double transferDelay(const UpstreamSelection &choice, const SelectionPolicy &policy)
+double transferDelay(const UpstreamSelection &selection, const SelectionPolicy &policy)
 {
-    if (choice.transferredTokens <= 0.0) {
+    if (selection.transferredTokens <= 0.0) {
         return 0.0;
     }
     return policy.performance.transferSetup
-           + choice.transferredTokens / policy.performance.transferRate;
+           + selection.transferredTokens / policy.performance.transferRate;
 }
 
 /// \returns the cost to other requests: a prefill delays the next tokens of all requests running
 /// beside it, and like a transfer it takes cache space from other prefixes.
-double loadOnOthers(const UpstreamSelection &choice, const UpstreamState &state,
+double costToOthers(const UpstreamSelection &selection, const UpstreamState &state,
                     const SelectionPolicy &policy)
 {
-    const double cachedTokens = choice.uncachedTokens + choice.transferredTokens;
-    const double delayedTokens = runningAt(state) * choice.uncachedTokens;
+    const double cachedTokens = selection.uncachedTokens + selection.transferredTokens;
+    const double delayedTokens = runningAt(state) * selection.uncachedTokens;
     return (policy.cacheWeight * cachedTokens + policy.interference * delayedTokens)
            / policy.performance.prefillRate;
 }
 
-void estimateDelay(UpstreamSelection &choice, const UpstreamState &state, bool hasPrompt,
+void estimateDelay(UpstreamSelection &selection, const UpstreamState &state, bool hasPrompt,
                    const SelectionPolicy &policy, TimePoint now)
 {
     const double prefill =
-        (choice.uncachedTokens + state.ownPendingPrefill + state.peersPendingPrefill)
+        (selection.uncachedTokens + state.ownPendingPrefill + state.peersPendingPrefill)
         / policy.performance.prefillRate;
-    choice.extraDelay = extraDelayOf(state.health, now);
-    choice.expectedDelay = (hasPrompt ? policy.performance.baseDelay : 0.0) + prefill
-                           + transferDelay(choice, policy) + queueDelay(state, policy)
-                           + choice.extraDelay;
+    selection.extraDelay = extraDelayOf(state.health, now);
+    selection.expectedDelay = (hasPrompt ? policy.performance.baseDelay : 0.0) + prefill
+                              + transferDelay(selection, policy) + queueDelay(state, policy)
+                              + selection.extraDelay;
 }
 
 /// Adds the shared prefix to the estimate of the home. It was compared with the others as if it had
 /// the shared prefix cached, so that all routers select it; its actual work is the whole prompt.
-void addFirstRead(UpstreamSelection &choice, const std::vector<double> &cached,
-                  const SelectionRequest &request, const SelectionPolicy &policy)
+void addFirstPrefill(UpstreamSelection &selection, const std::vector<double> &cached,
+                     const SelectionRequest &request, const SelectionPolicy &policy)
 {
     const double shared = sharedTokensOf(*request.prompt);
-    const double before = transferDelay(choice, policy);
-    choice.transferredTokens =
-        choice.transferSource ? std::min(shared, cached[*choice.transferSource]) : 0.0;
-    choice.uncachedTokens += shared - choice.transferredTokens;
-    choice.expectedDelay += (shared - choice.transferredTokens) / policy.performance.prefillRate
-                            + transferDelay(choice, policy) - before;
+    const double before = transferDelay(selection, policy);
+    selection.transferredTokens =
+        selection.transferSource ? std::min(shared, cached[*selection.transferSource]) : 0.0;
+    selection.uncachedTokens += shared - selection.transferredTokens;
+    selection.expectedDelay +=
+        (shared - selection.transferredTokens) / policy.performance.prefillRate
+        + transferDelay(selection, policy) - before;
 }
 
 /// In order of preference: a class is used only if no candidate is in a better one.
-enum class Fitness : std::uint8_t { Good, OverBound, Avoided, Unreachable, Unusable };
+enum class Eligibility : std::uint8_t { Good, OverBound, Ejected, Unreachable, Unusable };
 
-Fitness fitnessOf(const UpstreamState &state, const SelectionRequest &request, const Survey &seen,
-                  TimePoint now)
+Eligibility eligibilityOf(const UpstreamState &state, const SelectionRequest &request,
+                          const CandidateStatistics &statistics, TimePoint now)
 {
     if (state.replica.draining || wasTried(state.replica, request)) {
-        return Fitness::Unusable;
+        return Eligibility::Unusable;
     }
     const std::uint32_t unreachable = connectFailureCount(state.health, now);
     if (unreachable > 0) {
         // A single lost packet looks the same. After two failures, another attempt would cost the
         // caller as much again, so the request is rejected at once instead.
-        return unreachable == 1 ? Fitness::Unreachable : Fitness::Unusable;
+        return unreachable == 1 ? Eligibility::Unreachable : Eligibility::Unusable;
     }
-    if (seen.avoidanceHolds && isEjected(state.health, now)) {
-        return Fitness::Avoided;
+    if (statistics.avoidanceHolds && isEjected(state.health, now)) {
+        return Eligibility::Ejected;
     }
-    return runningAt(state) + 1.0 > seen.bound ? Fitness::OverBound : Fitness::Good;
+    return runningAt(state) + 1.0 > statistics.bound ? Eligibility::OverBound : Eligibility::Good;
 }
 
 /// Inputs to the comparison of all candidates.
 struct Comparison
 {
-    Survey seen;
+    CandidateStatistics statistics;
     bool hasPrompt = false;
-    PreferenceList order;
+    PreferenceList preferences;
     /// The home is assumed to have the shared prefix cached.
-    bool trustsHome = false;
+    bool assumesHomeCached = false;
     std::vector<double> cached;
-    Donors donors;
+    TransferSources sources;
 };
 
 Comparison prepare(std::span<UpstreamState *const> candidates, const SelectionRequest &request,
                    const PrefixIndex &memory, const SelectionPolicy &policy, TimePoint now)
 {
     Comparison result;
-    result.seen = survey(candidates, policy, now);
+    result.statistics = collectStatistics(candidates, policy, now);
     result.hasPrompt = request.prompt != nullptr && !request.prefixHashes.empty();
     if (!result.hasPrompt) {
         return result;
     }
-    result.order = preferenceListOf(candidates, homeKey(request), result.seen.avoidanceHolds, now);
+    result.preferences =
+        preferenceListOf(candidates, preferenceKey(request), result.statistics.avoidanceHolds, now);
     // If no engine is known to have the prefix cached, all routers select its home, so that it is
     // prefilled once. When it is known, engines that have it are preferred: a home changes as
     // engines join and leave, but cached prefixes stay where they are.
-    result.trustsHome = policy.preferredUpstreams
-                        && !isKnownAnywhere(candidates, request, memory, result.seen, now);
-    result.cached = cachedAtEach(candidates, result.trustsHome ? result.order.home : std::nullopt,
-                                 request, memory, now);
+    result.assumesHomeCached =
+        policy.preferredUpstreams
+        && !isCachedAnywhere(candidates, request, memory, result.statistics, now);
+    result.cached = cachedTokensOfEach(
+        candidates, result.assumesHomeCached ? result.preferences.home : std::nullopt, request,
+        memory, now);
     if (policy.transfers) {
-        result.donors = donorsOf(candidates, result.cached, result.order, request, policy, now);
+        result.sources =
+            transferSourcesOf(candidates, result.cached, result.preferences, request, policy, now);
     }
     return result;
 }
 
-UpstreamSelection weigh(std::size_t index, const UpstreamState &state, const Comparison &comparison,
-                        const SelectionRequest &request, const SelectionPolicy &policy,
-                        TimePoint now)
+UpstreamSelection evaluate(std::size_t index, const UpstreamState &state,
+                           const Comparison &comparison, const SelectionRequest &request,
+                           const SelectionPolicy &policy, TimePoint now)
 {
-    UpstreamSelection choice;
-    choice.index = index;
+    UpstreamSelection selection;
+    selection.index = index;
     if (comparison.hasPrompt) {
-        weighPrompt(choice, comparison.cached, comparison.donors, request);
+        estimatePrompt(selection, comparison.cached, comparison.sources, request);
     }
-    estimateDelay(choice, state, comparison.hasPrompt, policy, now);
+    estimateDelay(selection, state, comparison.hasPrompt, policy, now);
     const double excessFailures =
-        std::max(0.0, failureRateOf(state.health, now) - comparison.seen.meanFailureShare);
-    choice.cost = choice.expectedDelay + loadOnOthers(choice, state, policy)
-                  + policy.failureDelay * excessFailures
-                  + (comparison.hasPrompt ? orderDelay(comparison.order.ranks[index], policy)
-                                          : spreadDelay(state, request, policy))
-                  + (state.replica.dataCentre == request.dataCentre ? 0.0 : policy.remoteDelay);
-    choice.isHome = comparison.order.home == index;
-    choice.isFirstPrefill = comparison.trustsHome && choice.isHome;
-    return choice;
+        std::max(0.0, failureRateOf(state.health, now) - comparison.statistics.meanFailureShare);
+    selection.cost =
+        selection.expectedDelay + costToOthers(selection, state, policy)
+        + policy.failureDelay * excessFailures
+        + (comparison.hasPrompt ? preferenceDelay(comparison.preferences.ranks[index], policy)
+                                : promptlessDelay(state, request, policy))
+        + (state.replica.dataCentre == request.dataCentre ? 0.0 : policy.remoteDelay);
+    selection.isHome = comparison.preferences.home == index;
+    selection.isFirstPrefill = comparison.assumesHomeCached && selection.isHome;
+    return selection;
 }
 
 } // namespace
@@ -336,34 +346,36 @@
 {
     const Comparison comparison = prepare(candidates, request, memory, policy, now);
     std::optional<UpstreamSelection> best;
-    Fitness bestFitness = Fitness::Unusable;
-    std::uint32_t avoided = 0;
+    Eligibility bestEligibility = Eligibility::Unusable;
+    std::uint32_t ejected = 0;
     std::uint32_t overBound = 0;
     double homeCost = 0.0;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        const Fitness fitness = fitnessOf(*candidates[i], request, comparison.seen, now);
-        avoided += fitness >= Fitness::Avoided ? 1 : 0;
-        overBound += fitness == Fitness::OverBound ? 1 : 0;
-        if (fitness == Fitness::Unusable) {
+        const Eligibility eligibility =
+            eligibilityOf(*candidates[i], request, comparison.statistics, now);
+        ejected += eligibility >= Eligibility::Ejected ? 1 : 0;
+        overBound += eligibility == Eligibility::OverBound ? 1 : 0;
+        if (eligibility == Eligibility::Unusable) {
             continue;
         }
-        const UpstreamSelection choice = weigh(i, *candidates[i], comparison, request, policy, now);
-        homeCost = choice.isHome ? choice.cost : homeCost;
-        if (!best || fitness < bestFitness
-            || (fitness == bestFitness && choice.cost < best->cost)) {
-            best = choice;
-            bestFitness = fitness;
+        const UpstreamSelection selection =
+            evaluate(i, *candidates[i], comparison, request, policy, now);
+        homeCost = selection.isHome ? selection.cost : homeCost;
+        if (!best || eligibility < bestEligibility
+            || (eligibility == bestEligibility && selection.cost < best->cost)) {
+            best = selection;
+            bestEligibility = eligibility;
         }
     }
     if (best) {
         if (best->isFirstPrefill) {
-            addFirstRead(*best, comparison.cached, request, policy);
+            addFirstPrefill(*best, comparison.cached, request, policy);
         }
-        best->ejectedCount = avoided;
+        best->ejectedCount = ejected;
         best->overBoundCount = overBound;
-        best->loadBound = comparison.seen.bound;
+        best->loadBound = comparison.statistics.bound;
         best->homeCost = homeCost;
-        best->occupancy = comparison.seen.occupancy;
+        best->occupancy = comparison.statistics.occupancy;
     }
     return best;
 }
--- a/src/routing/updatelog.cpp
+++ b/src/routing/updatelog.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 template<typename Log>
-void dropBefore(Log &log, TimePoint then)
+void eraseBefore(Log &log, TimePoint then)
 {
     while (!log.empty() && log.front().when < then) {
         log.pop_front();
@@ -14,10 +14,10 @@
 
 /// Calls \a take with the items of \a log since \a since, newest first, until it returns false.
 template<typename Log, typename Take>
-void walkSince(const Log &log, TimePoint since, Take take)
+void visitSince(const Log &log, TimePoint since, Take take)
 {
-    for (auto noted = log.rbegin(); noted != log.rend() && noted->when >= since; ++noted) {
-        if (!take(noted->item)) {
+    for (auto entry = log.rbegin(); entry != log.rend() && entry->when >= since; ++entry) {
+        if (!take(entry->item)) {
             return;
         }
     }
@@ -42,17 +42,17 @@
 
 void UpdateLog::removeBefore(TimePoint then)
 {
-    dropBefore(this->prefixes, then);
-    dropBefore(this->crashes, then);
-    dropBefore(this->cleared, then);
+    eraseBefore(this->prefixes, then);
+    eraseBefore(this->crashes, then);
+    eraseBefore(this->cleared, then);
 }
 
-std::vector<PrefixReport> UpdateLog::prefixesSince(TimePoint since, std::size_t most) const
+std::vector<PrefixReport> UpdateLog::prefixesSince(TimePoint since, std::size_t limit) const
 {
     std::vector<PrefixReport> found;
-    walkSince(this->prefixes, since, [&found, most](const PrefixReport &chain) {
+    visitSince(this->prefixes, since, [&found, limit](const PrefixReport &chain) {
         found.push_back(chain);
-        return found.size() < most;
+        return found.size() < limit;
     });
     return found;
 }
@@ -60,11 +60,11 @@
 CrashUpdate UpdateLog::crashesSince(TimePoint since) const
 {
     CrashUpdate found;
-    walkSince(this->crashes, since, [&found](const CrashReport &crash) {
+    visitSince(this->crashes, since, [&found](const CrashReport &crash) {
         found.crashes.push_back(crash);
         return true;
     });
-    walkSince(this->cleared, since, [&found](RequestFingerprint request) {
+    visitSince(this->cleared, since, [&found](RequestFingerprint request) {
         found.cleared.push_back(request);
         return true;
     });
--- a/src/upstreams/suspects.cpp
+++ b/src/upstreams/suspects.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void dropOld(Suspects &suspects, TimePoint now)
+void evictOld(Suspects &suspects, TimePoint now)
 {
     std::erase_if(suspects.entries, [&](const auto &each) {
         return now - each.second.lastCrash > suspects.limits.quarantine;
@@ -24,9 +24,9 @@
 void addCrash(Suspects &suspects, Fingerprint fingerprint, UpstreamId upstream, TimePoint now)
 {
     Suspect &suspect = suspects.entries[fingerprint];
-    const bool told = suspect.crashes > 0 && suspect.lastUpstream == upstream
-                      && now - suspect.lastCrash < suspects.limits.sameCrashWindow;
-    if (!told) {
+    const bool isKnown = suspect.crashes > 0 && suspect.lastUpstream == upstream
+                         && now - suspect.lastCrash < suspects.limits.sameCrashWindow;
+    if (!isKnown) {
         ++suspect.crashes;
     }
     suspect.lastUpstream = upstream;
@@ -35,19 +35,19 @@
 
 } // namespace
 
-void applySuspectUpdate(Suspects &suspects, const SuspectUpdate &news, TimePoint now)
+void applySuspectUpdate(Suspects &suspects, const SuspectUpdate &update, TimePoint now)
 {
-    for (const Fingerprint fingerprint : news.crashed) {
-        addCrash(suspects, fingerprint, news.upstream, now);
+    for (const Fingerprint fingerprint : update.crashed) {
+        addCrash(suspects, fingerprint, update.upstream, now);
     }
-    for (const Fingerprint fingerprint : news.cleared) {
+    for (const Fingerprint fingerprint : update.cleared) {
         const auto found = suspects.entries.find(fingerprint);
         if (found != suspects.entries.end()
             && found->second.crashes < suspects.limits.quarantineThreshold) {
             suspects.entries.erase(found);
         }
     }
-    dropOld(suspects, now);
+    evictOld(suspects, now);
 }
 
 SuspectStatus suspectStatusOf(const Suspects &suspects, Fingerprint fingerprint, TimePoint now)
@@ -80,18 +80,18 @@
 bool isBlocked(const Suspects &suspects, Fingerprint fingerprint,
                const std::vector<std::pair<UpstreamId, Fingerprint>> &running, TimePoint now)
 {
-    const SuspectStatus blame = suspectStatusOf(suspects, fingerprint, now);
-    return blame == SuspectStatus::Quarantined
-           || (blame == SuspectStatus::Suspected
+    const SuspectStatus status = suspectStatusOf(suspects, fingerprint, now);
+    return status == SuspectStatus::Quarantined
+           || (status == SuspectStatus::Suspected
                && std::any_of(running.begin(), running.end(), [fingerprint](const auto &each) {
                       return each.second == fingerprint;
                   }));
 }
 
-void SuspectTable::applyUpdate(const SuspectUpdate &news, TimePoint now)
+void SuspectTable::applyUpdate(const SuspectUpdate &update, TimePoint now)
 {
     const RankedLock lock(this->mutex);
-    applySuspectUpdate(this->suspects, news, now);
+    applySuspectUpdate(this->suspects, update, now);
 }
 
 SuspectStatus SuspectTable::statusOf(Fingerprint fingerprint, TimePoint now) const
--- a/src/upstreams/upstreams.cpp
+++ b/src/upstreams/upstreams.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /// Start stamp of a VM that a notice named before the list did; no stamp counts as later.
-constexpr std::uint64_t unknownLife = std::numeric_limits<std::uint64_t>::max();
+constexpr std::uint64_t unknownStart = std::numeric_limits<std::uint64_t>::max();
 
-bool isNewLife(const Vm &vm, std::uint64_t startedBefore) noexcept
+bool isNewIncarnation(const Vm &vm, std::uint64_t startedBefore) noexcept
 {
     return vm.startStamp > startedBefore;
 }
@@ -38,17 +38,18 @@
         const UpstreamId id = upstreamIdOf(vm.id);
         Upstream upstream{vm, id, TimePoint{}};
         const auto known = this->upstreams.find(id);
-        const auto gone = this->delisted.find(id);
-        bool wasLeaving = false;
-        if (known != this->upstreams.end() && !isNewLife(vm, known->second.vm.startStamp)) {
-            wasLeaving = known->second.vm.leaving;
+        const auto delistedBefore = this->delisted.find(id);
+        bool wasDraining = false;
+        if (known != this->upstreams.end() && !isNewIncarnation(vm, known->second.vm.startStamp)) {
+            wasDraining = known->second.vm.leaving;
             upstream.ejectedUntil = known->second.ejectedUntil;
-        } else if (gone != this->delisted.end() && !isNewLife(vm, gone->second.started)) {
-            wasLeaving = true;
+        } else if (delistedBefore != this->delisted.end()
+                   && !isNewIncarnation(vm, delistedBefore->second.started)) {
+            wasDraining = true;
         }
         this->delisted.erase(id);
-        upstream.vm.leaving = vm.leaving || wasLeaving;
-        if (vm.leaving && !wasLeaving) {
+        upstream.vm.leaving = vm.leaving || wasDraining;
+        if (vm.leaving && !wasDraining) {
             this->newlyDraining.push_back(vm.id);
         }
         next.emplace(id, std::move(upstream));
@@ -72,7 +73,7 @@
     const UpstreamId shortId = upstreamIdOf(id);
     const auto found = this->upstreams.find(shortId);
     if (found == this->upstreams.end()) {
-        if (this->delisted.emplace(shortId, DelistedUpstream{unknownLife, now}).second) {
+        if (this->delisted.emplace(shortId, DelistedUpstream{unknownStart, now}).second) {
             this->newlyDraining.push_back(id);
         }
     } else if (!found->second.vm.leaving) {
@@ -96,12 +97,12 @@
     }
 }
 
-std::vector<Upstream> UpstreamTable::ready(std::string_view service, std::string_view place,
+std::vector<Upstream> UpstreamTable::ready(std::string_view service, std::string_view dataCentre,
                                            TimePoint now) const
 {
     const RankedLock lock(this->mutex);
     std::vector<Upstream> result;
-    const auto inPlace = this->pools.find(place);
+    const auto inPlace = this->pools.find(dataCentre);
     if (inPlace == this->pools.end()) {
         return result;
     }
--- a/tests/answerfleet.cpp
+++ b/tests/answerfleet.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr std::uint16_t ownPorts = 26900;
+constexpr std::uint16_t basePort = 26900;
 
 class AnswerFixture
 {
 protected:
     AnswerFixture()
-        : fleet(lowtherDeployment(ownPorts, 3))
+        : fleet(lowtherDeployment(basePort, 3))
     {
         REQUIRE(this->fleet.startAndConverge());
     }
@@ -89,10 +89,10 @@
     // Guards against one request, repeated at every router, crashing engine after engine. It is
     // quarantined after two crashes wherever it is sent, and its refusal says truthfully whether it
     // ran. Long chats on the same engines are retried and answered.
-    std::vector<std::future<net::HttpResponse>> innocents;
-    innocents.reserve(10);
+    std::vector<std::future<net::HttpResponse>> otherChats;
+    otherChats.reserve(10);
     for (int index = 0; index < 10; ++index) {
-        innocents.push_back(std::async(std::launch::async, [this, index] {
+        otherChats.push_back(std::async(std::launch::async, [this, index] {
             const auto name = "innocent-" + std::to_string(index);
             return this->chat(static_cast<std::size_t>(index % 3), name, name, 100, false);
         }));
@@ -108,8 +108,8 @@
         CHECK(errorOf(repeat).value("ran", "") == "no");
     }
     CHECK(this->crashes() == 2);
-    for (auto &innocent : innocents) {
-        CHECK(innocent.get().status == 200);
+    for (auto &otherChat : otherChats) {
+        CHECK(otherChat.get().status == 200);
     }
 }
 
--- a/tests/catalogue.cpp
+++ b/tests/catalogue.cpp
@@ -51,9 +51,10 @@
 
 TEST_CASE_METHOD(CatalogueFixture, "admit_twoDataClasses_permitsOnlySharedPlaces", "[catalogue]")
 {
-    const auto admitted = admit(*this->table.view(), "secret", "model", Duration{0}, this->reason);
-    REQUIRE(admitted);
-    CHECK(admitted->dataCentres == std::vector<std::string>{"b"});
+    const auto authorization =
+        admit(*this->table.view(), "secret", "model", Duration{0}, this->reason);
+    REQUIRE(authorization);
+    CHECK(authorization->dataCentres == std::vector<std::string>{"b"});
 }
 
 TEST_CASE_METHOD(CatalogueFixture, "admit_wrongToken_isUnauthorized", "[catalogue]")
@@ -84,9 +85,9 @@
                        {{EntryKind::Workspace, "x"}, 7, std::nullopt}});
     const auto after = this->table.view();
     CHECK_FALSE(admit(*after, "secret", "model", Duration{0}, this->reason));
-    const auto admitted = admit(*after, "renewed", "model", Duration{0}, this->reason);
-    REQUIRE(admitted);
-    CHECK(admitted->workspace == "w");
-    CHECK(admitted->catalogueVersion == 7);
+    const auto authorization = admit(*after, "renewed", "model", Duration{0}, this->reason);
+    REQUIRE(authorization);
+    CHECK(authorization->workspace == "w");
+    CHECK(authorization->catalogueVersion == 7);
     CHECK(admit(*before, "secret", "model", Duration{0}, this->reason));
 }
--- a/tests/chathints.cpp
+++ b/tests/chathints.cpp
@@ -21,24 +21,25 @@
 class ChatHintsFixture
 {
 protected:
-    [[nodiscard]] GrantContext view() const { return {this->engines, this->bound, false}; }
+    [[nodiscard]] GrantContext context() const { return {this->engines, this->bound, false}; }
 
-    SlotReply grant(ShardCoordinator &keeper, std::uint64_t chat,
+    SlotReply grant(ShardCoordinator &coordinator, std::uint64_t chat,
                     std::vector<UpstreamId> avoid = {})
     {
-        return keeper.grant(1, {this->nextAsk++, this->shard, chat, chat, std::move(avoid)},
-                            this->view(), true, this->now);
+        return coordinator.grant(1,
+                                 {this->nextRequestId++, this->shard, chat, chat, std::move(avoid)},
+                                 this->context(), true, this->now);
     }
 
     /// Runs each chat once, away from its first engine. \returns where each ran.
-    std::map<std::uint64_t, UpstreamId> displace(ShardCoordinator &keeper, std::uint64_t chats)
+    std::map<std::uint64_t, UpstreamId> displace(ShardCoordinator &coordinator, std::uint64_t chats)
     {
         std::map<std::uint64_t, UpstreamId> result;
         for (std::uint64_t chat = 1; chat <= chats; ++chat) {
-            ShardCoordinator fresh;
-            const UpstreamId first = this->grant(fresh, chat).upstream;
-            result[chat] = this->grant(keeper, chat, {first}).upstream;
-            keeper.release(1, {shardIdOf(this->shard), {this->nextAsk - 1}});
+            ShardCoordinator empty;
+            const UpstreamId first = this->grant(empty, chat).upstream;
+            result[chat] = this->grant(coordinator, chat, {first}).upstream;
+            coordinator.release(1, {shardIdOf(this->shard), {this->nextRequestId - 1}});
             REQUIRE(result[chat] != first);
         }
         this->now += ejectionPeriod;
@@ -46,19 +47,20 @@
     }
 
     /// \returns how many of the chats run on the same engines as before.
-    std::size_t found(ShardCoordinator &keeper, const std::map<std::uint64_t, UpstreamId> &places)
+    std::size_t countUnmoved(ShardCoordinator &coordinator,
+                             const std::map<std::uint64_t, UpstreamId> &locations)
     {
         std::size_t count = 0;
-        for (const auto &[chat, engine] : places) {
-            count += this->grant(keeper, chat).upstream == engine ? 1 : 0;
-            keeper.release(1, {shardIdOf(this->shard), {this->nextAsk - 1}});
+        for (const auto &[chat, engine] : locations) {
+            count += this->grant(coordinator, chat).upstream == engine ? 1 : 0;
+            coordinator.release(1, {shardIdOf(this->shard), {this->nextRequestId - 1}});
         }
         return count;
     }
 
     /// Delivers one second's hints from \a from to \a to, if addressed to it.
-    void carry(ShardCoordinator &from, const Heartbeat &sender, ShardCoordinator &to,
-               const Heartbeat &target)
+    void deliverHints(ShardCoordinator &from, const Heartbeat &sender, ShardCoordinator &to,
+                      const Heartbeat &target)
     {
         for (const auto &[endpoint, hints] :
              from.takeHints(sender.datagramEndpoint, this->members, this->now)) {
@@ -72,10 +74,10 @@
     std::vector<UpstreamId> engines{11, 22, 33, 44};
     LoadBoundSettings bound;
     TimePoint now{Seconds{1}};
-    std::uint32_t nextAsk = 1;
+    std::uint32_t nextRequestId = 1;
     std::vector<Heartbeat> members =
         coordinatorsOf(this->shard, {routerOf(1), routerOf(2), routerOf(3), routerOf(4)});
-    ShardCoordinator keeper;
+    ShardCoordinator coordinator;
     ShardCoordinator next;
 };
 
@@ -86,21 +88,21 @@
 {
     // Chats run away from their first engines, whose caches hold none of them, and the coordinator
     // dies. The next one has received hints every second; by hash it would find no chat.
-    const auto places = this->displace(this->keeper, 40);
-    this->carry(this->keeper, this->members[0], this->next, this->members[1]);
-    CHECK(this->found(this->next, places) == places.size());
+    const auto locations = this->displace(this->coordinator, 40);
+    this->deliverHints(this->coordinator, this->members[0], this->next, this->members[1]);
+    CHECK(this->countUnmoved(this->next, locations) == locations.size());
     ShardCoordinator untold;
-    CHECK(this->found(untold, places) == 0);
+    CHECK(this->countUnmoved(untold, locations) == 0);
 }
 
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_plannedStop_handsWholeMemoryOver", "[chathints]")
 {
-    const auto places = this->displace(this->keeper, 400);
-    for (const auto &[to, hints] : this->keeper.handOverHints({this->members[1]})) {
+    const auto locations = this->displace(this->coordinator, 400);
+    for (const auto &[to, hints] : this->coordinator.handOverHints({this->members[1]})) {
         CHECK(to == this->members[1].datagramEndpoint);
         this->next.receiveHints(hints, this->members[0].datagramEndpoint, this->now);
     }
-    CHECK(this->found(this->next, places) == places.size());
+    CHECK(this->countUnmoved(this->next, locations) == locations.size());
 }
 
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_routerJoinsAsKeeper_isToldWithinSeconds",
@@ -108,40 +110,40 @@
 {
     // A router joins that comes first in the shard's order. The coordinator before it has sent
     // hints to another router until now; it detects the new target and sends it all chats in parts.
-    const auto places = this->displace(this->keeper, 400);
+    const auto locations = this->displace(this->coordinator, 400);
     const Heartbeat joined = this->members.front();
     this->members.erase(this->members.begin());
-    this->carry(this->keeper, this->members[0], this->next, joined);
+    this->deliverHints(this->coordinator, this->members[0], this->next, joined);
     this->members.insert(this->members.begin(), joined);
     for (int second = 0; second < 3; ++second) {
-        this->carry(this->keeper, this->members[1], this->next, joined);
+        this->deliverHints(this->coordinator, this->members[1], this->next, joined);
     }
-    CHECK(this->found(this->next, places) == places.size());
+    CHECK(this->countUnmoved(this->next, locations) == locations.size());
 }
 
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_twoKeepers_eachTellsTheOther", "[chathints]")
 {
     // The second coordinator doesn't know the first one as a member and would send its hints to a
     // third router. It receives the first one's hints and replies with its own.
-    this->displace(this->keeper, 2);
-    const auto places = this->displace(this->next, 5);
-    this->carry(this->keeper, this->members[0], this->next, this->members[1]);
+    this->displace(this->coordinator, 2);
+    const auto locations = this->displace(this->next, 5);
+    this->deliverHints(this->coordinator, this->members[0], this->next, this->members[1]);
     const Heartbeat first = this->members.front();
     this->members.erase(this->members.begin());
-    this->carry(this->next, this->members[0], this->keeper, first);
-    CHECK(this->found(this->keeper, places) == places.size());
+    this->deliverHints(this->next, this->members[0], this->coordinator, first);
+    CHECK(this->countUnmoved(this->coordinator, locations) == locations.size());
 }
 
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_lateOlderHint_doesNotReplaceOwnKnowledge",
                  "[chathints]")
 {
-    const auto places = this->displace(this->next, 5);
+    const auto locations = this->displace(this->next, 5);
     ChatHints late{shardIdOf(this->shard), false, {}};
-    for (const auto &[chat, engine] : places) {
+    for (const auto &[chat, engine] : locations) {
         late.chats.push_back({chat, engine == 11 ? 22U : 11U});
     }
     this->next.receiveHints(late, this->members[0].datagramEndpoint, this->now);
-    CHECK(this->found(this->next, places) == places.size());
+    CHECK(this->countUnmoved(this->next, locations) == locations.size());
 }
 
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_anyHostileHints_neverLeadOutsideShardOrBound",
@@ -158,8 +160,9 @@
             const UpstreamId hinted = (step / 5) % 2 == 0 ? 11 : (step / 10) % 60;
             applyHints(state.affinity, {1, (step / 7) % 2 == 0, {{chat, hinted}}}, 4);
             const std::uint64_t total = state.slots.size();
-            const SlotReply reply = grantSlot(
-                state, 1, {this->nextAsk++, this->shard, chat, chat, {}}, this->view(), this->now);
+            const SlotReply reply =
+                grantSlot(state, 1, {this->nextRequestId++, this->shard, chat, chat, {}},
+                          this->context(), this->now);
             if (reply.verdict == SlotVerdict::Granted) {
                 RC_ASSERT(std::count(this->engines.begin(), this->engines.end(), reply.upstream)
                           == 1);
@@ -173,10 +176,10 @@
 
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_manyMoves_stayWithinDatagramsASecond", "[chathints]")
 {
-    this->displace(this->keeper, 5000);
+    this->displace(this->coordinator, 5000);
     for (int second = 0; second < 20; ++second) {
-        const auto sendings =
-            this->keeper.takeHints(this->members[0].datagramEndpoint, this->members, this->now);
+        const auto sendings = this->coordinator.takeHints(this->members[0].datagramEndpoint,
+                                                          this->members, this->now);
         CHECK(sendings.size() <= 1 + handOverDatagramsPerSecond);
     }
 }
--- a/tests/claimfleet.cpp
+++ b/tests/claimfleet.cpp
@@ -9,27 +9,27 @@
 
 namespace {
 
-constexpr std::uint16_t ownPorts = 26500;
+constexpr std::uint16_t basePort = 26500;
 
 /// A caller that can disconnect in the middle of its request.
-class Phone
+class DisconnectingCaller
 {
 public:
-    Phone()
+    DisconnectingCaller()
         : guard(asio::make_work_guard(context))
         , http(context)
         , worker([this] { this->context.run(); })
     {}
-    ~Phone()
+    ~DisconnectingCaller()
     {
         this->context.stop();
         this->worker.join();
     }
-    Phone(const Phone &) = delete;
-    Phone &operator=(const Phone &) = delete;
+    DisconnectingCaller(const DisconnectingCaller &) = delete;
+    DisconnectingCaller &operator=(const DisconnectingCaller &) = delete;
 
     void send(net::HttpCall call) { this->exchange = this->http.start(std::move(call), {}); }
-    void leave() { this->exchange->cancel(); }
+    void disconnect() { this->exchange->cancel(); }
 
 private:
     asio::io_context context;
@@ -43,7 +43,7 @@
 {
 protected:
     ClaimFixture()
-        : fleet(lowtherDeployment(ownPorts, 3))
+        : fleet(lowtherDeployment(basePort, 3))
     {
         REQUIRE(this->fleet.startAndConverge());
     }
@@ -67,14 +67,14 @@
         return this->fleet.call(router, orderCall(key, body, workspace));
     }
 
-    void send(Phone &phone, const std::string &key) const
+    void send(DisconnectingCaller &caller, const std::string &key) const
     {
         net::HttpCall call = orderCall(key);
         call.url = "http://" + toText(this->fleet.layout[0].callers) + call.url;
-        phone.send(std::move(call));
+        caller.send(std::move(call));
     }
 
-    std::future<net::HttpResponse> orderAside(std::size_t router, const std::string &key)
+    std::future<net::HttpResponse> orderAsync(std::size_t router, const std::string &key)
     {
         return std::async(std::launch::async, [=, this] { return this->order(router, key); });
     }
@@ -84,7 +84,7 @@
         return Fleet::eventually([&] { return this->fleet.standIns.runs->keys() == keys; });
     }
 
-    [[nodiscard]] std::uint64_t mostRuns() const { return this->fleet.standIns.runs->highest(); }
+    [[nodiscard]] std::uint64_t maxRuns() const { return this->fleet.standIns.runs->highest(); }
 
     Fleet fleet;
 };
@@ -103,7 +103,7 @@
         CHECK(repeat.body == first.body);
         CHECK(repeat.headers.at("x-repeat") == "true");
     }
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "claim_keyMisuse_isToldApart", "[claims]")
@@ -116,13 +116,13 @@
     const auto other = this->order(1, "k1", "sign", 1);
     CHECK(other.status == 200);
     CHECK(other.headers.count("x-repeat") == 0);
-    CHECK(this->mostRuns() == 2);
+    CHECK(this->maxRuns() == 2);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "claim_repeatWhileRunning_hearsInProgressThenAnswer", "[claims]")
 {
     this->fleet.standIns.orders->hold();
-    auto first = this->orderAside(0, "k1");
+    auto first = this->orderAsync(0, "k1");
     REQUIRE(this->eventuallyRan(1));
     for (std::size_t router = 0; router < 3; ++router) {
         const auto repeat = this->order(router, "k1");
@@ -132,7 +132,7 @@
     this->fleet.standIns.orders->letGo();
     CHECK(first.get().status == 200);
     CHECK(this->order(1, "k1").status == 200);
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "claim_routerKilledWhileRunning_neverRunsAgain", "[claims]")
@@ -140,8 +140,8 @@
     // Guards against running a request again after its router was killed during the run. Only that
     // router knew the outcome, so repeats at the others are told that it may have run.
     this->fleet.standIns.orders->hold();
-    Phone phone;
-    this->send(phone, "k1");
+    DisconnectingCaller caller;
+    this->send(caller, "k1");
     REQUIRE(this->eventuallyRan(1));
     this->fleet.killRouter(0);
     this->fleet.standIns.orders->letGo();
@@ -150,7 +150,7 @@
         CHECK(refusalKindOf(repeat) == "may-have-run");
         CHECK(errorOf(repeat).value("ran", "") == "unknown");
     }
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "claim_platformOutage_refusesAsNotRunAndServesAfter", "[claims]")
@@ -166,10 +166,10 @@
         CHECK(errorOf(refused).value("scope", "") == "attempt");
         CHECK(refused.headers.count("retry-after") == 1);
     }
-    CHECK(this->mostRuns() == 0);
+    CHECK(this->maxRuns() == 0);
     this->fleet.setFaults({{"outage", false}});
     CHECK(Fleet::eventually([&] { return this->order(1, "k1").status == 200; }));
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "claim_writeAnswerLost_isRecognisedAsOwn", "[claims]")
@@ -181,7 +181,7 @@
     this->fleet.setFaults({{"loseAnswers", 2}});
     CHECK(this->order(0, "k1").status == 200);
     CHECK(this->order(1, "k1").status == 200);
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "claim_slowStoreWriteAfterRefusal_isHarmless", "[claims]")
@@ -192,10 +192,10 @@
     REQUIRE(this->order(0, "warm").status == 200);
     this->fleet.setFaults({{"slowMilliseconds", 2900}});
     CHECK(refusalKindOf(this->order(0, "k1")) == "claim-unavailable");
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
     this->fleet.setFaults({{"slowMilliseconds", 0}});
     CHECK(Fleet::eventually([&] { return this->order(2, "k1").status == 200; }));
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "claim_upstreamBreaksOff_isNotRepeated", "[claims]")
@@ -206,7 +206,7 @@
     CHECK(errorOf(broken).value("ran", "") == "unknown");
     CHECK(refusalKindOf(this->order(0, "k1")) == "may-have-run");
     CHECK(refusalKindOf(this->order(1, "k1")) == "may-have-run");
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "claim_upstreamsRefuseAsNotRun_givesTheClaimBack", "[claims]")
@@ -219,7 +219,7 @@
     CHECK(errorOf(refused).value("scope", "") == "request");
     this->fleet.standIns.orders->refuse(0);
     CHECK(Fleet::eventually([&] { return this->order(1, "k1").status == 200; }));
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "claim_callerLeaves_orderEndsAndRepeatGetsAnswer", "[claims]")
@@ -227,13 +227,13 @@
     // Guards against a non-idempotent request that stops halfway when its caller disconnects. It
     // runs to its end, and the caller's repeat gets the kept answer, also at another router.
     this->fleet.standIns.orders->hold();
-    Phone phone;
-    this->send(phone, "k1");
+    DisconnectingCaller caller;
+    this->send(caller, "k1");
     REQUIRE(this->eventuallyRan(1));
-    phone.leave();
+    caller.disconnect();
     this->fleet.standIns.orders->letGo();
     CHECK(Fleet::eventually([&] { return this->order(1, "k1").status == 200; }));
-    CHECK(this->mostRuns() == 1);
+    CHECK(this->maxRuns() == 1);
 }
 
 TEST_CASE_METHOD(ClaimFixture, "service_answerToAnotherRequest_isNotHandedOn", "[answers]")
--- a/tests/claimlog.cpp
+++ b/tests/claimlog.cpp
@@ -32,15 +32,16 @@
 }
 
 /// \returns how many of a hundred seeds violate a guarantee under \a breakage.
-std::size_t violations(Breakage breakage)
+std::size_t violations(InjectedFault injectedFault)
 {
     std::size_t found = 0;
     for (std::uint32_t seed = 1; seed <= 100; ++seed) {
-        ClaimWorld world(breakage, smallLimits());
+        ClaimSimulation simulation(injectedFault, smallLimits());
         for (const std::uint32_t step : stepsOf(seed)) {
-            world.act(step);
+            simulation.execute(step);
         }
-        found += checkAtMostOnce(world.history) || checkNoFalseNotRun(world.history) ? 1 : 0;
+        found +=
+            checkAtMostOnce(simulation.history) || checkNoFalseNotRun(simulation.history) ? 1 : 0;
     }
     return found;
 }
@@ -57,25 +58,25 @@
     const bool held = rc::check("at most once, no false not-run", [&granted] {
         const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(
             stepsOfHistory, rc::gen::arbitrary<std::uint32_t>());
-        ClaimWorld world(Breakage::None, smallLimits());
+        ClaimSimulation simulation(InjectedFault::None, smallLimits());
         for (const std::uint32_t step : steps) {
-            world.act(step);
+            simulation.execute(step);
         }
-        granted += world.granted;
-        RC_ASSERT(!checkAtMostOnce(world.history));
-        RC_ASSERT(!checkNoFalseNotRun(world.history));
+        granted += simulation.granted;
+        RC_ASSERT(!checkAtMostOnce(simulation.history));
+        RC_ASSERT(!checkNoFalseNotRun(simulation.history));
     });
     CHECK(held);
     CHECK(granted > 1000);
-    CHECK(violations(Breakage::None) == 0);
+    CHECK(violations(InjectedFault::None) == 0);
 }
 
 TEST_CASE("claimLog_brokenVariants_areCaught", "[claims]")
 {
-    CHECK(violations(Breakage::UnconditionalWrites) > 0);
-    CHECK(violations(Breakage::DispatchEarly) > 0);
-    CHECK(violations(Breakage::DispatchAbandoned) > 0);
-    CHECK(violations(Breakage::ReleaseDispatched) > 0);
+    CHECK(violations(InjectedFault::UnconditionalWrites) > 0);
+    CHECK(violations(InjectedFault::DispatchEarly) > 0);
+    CHECK(violations(InjectedFault::DispatchAbandoned) > 0);
+    CHECK(violations(InjectedFault::ReleaseDispatched) > 0);
 }
 
 TEST_CASE("claimLog_keysOlderThanTheLog_areRefusedNotRunAgain", "[claims]")
@@ -88,15 +89,15 @@
     limits.maxClockSkew = Milliseconds{1000};
     std::size_t expired = 0;
     for (std::uint32_t seed = 1; seed <= 100; ++seed) {
-        ClaimWorld world(Breakage::None, limits);
-        world.dated = true;
+        ClaimSimulation simulation(InjectedFault::None, limits);
+        simulation.statesKeyTime = true;
         for (std::uint32_t part = 0; part < 4; ++part) {
             for (const std::uint32_t step : stepsOf(seed + part * 1000)) {
-                world.act(step);
+                simulation.execute(step);
             }
         }
-        expired += world.expired;
-        CHECK_FALSE(checkAtMostOnce(world.history));
+        expired += simulation.expired;
+        CHECK_FALSE(checkAtMostOnce(simulation.history));
     }
     CHECK(expired > 0);
 }
--- a/tests/claimworld.h
+++ b/tests/claimworld.h
@@ -10,7 +10,7 @@
 namespace plantainswitch::lab {
 
 /// Deliberate faults, to show that the checkers detect them.
-enum class Breakage : std::uint8_t {
+enum class InjectedFault : std::uint8_t {
     None,
     /// The store accepts every write, whatever its condition.
     UnconditionalWrites,
@@ -24,11 +24,11 @@
 
 /// Several routers that write one slice's log at one store, with the faults that each step selects:
 /// lost responses, late writes, outages, crashes, pauses, retries.
-class ClaimWorld
+class ClaimSimulation
 {
 public:
-    ClaimWorld(Breakage breakage, ClaimLogLimits limits)
-        : breakage(breakage)
+    ClaimSimulation(InjectedFault injectedFault, ClaimLogLimits limits)
+        : injectedFault(injectedFault)
         , limits(limits)
     {
         for (std::size_t index = 0; index < routerCount; ++index) {
@@ -37,7 +37,7 @@
     }
 
     /// Executes the action encoded in \a step.
-    void act(std::uint32_t step)
+    void execute(std::uint32_t step)
     {
         const std::size_t index = step / actions % routerCount;
         const std::uint64_t key = step / (actions * routerCount) % keys;
@@ -52,7 +52,7 @@
             this->dispatch(index);
             break;
         case 3:
-            this->giveUp(index);
+            this->abandon(index);
             break;
         case 4:
             this->applyLate();
@@ -111,17 +111,17 @@
     {
         Router &router = this->routers[index];
         const ClaimId id{key, key};
-        const OwnClaimState known = newestClaimOf(router.own, id).state;
-        if (known != OwnClaimState::Unknown && known != OwnClaimState::Abandoned) {
+        const OwnClaimState state = newestClaimOf(router.own, id).state;
+        if (state != OwnClaimState::Unknown && state != OwnClaimState::Abandoned) {
             return;
         }
         const Claim claim{id, router.log.writer, ++this->nonces, key};
         this->history.push_back({HistoryKind::Sent, key, claim.nonce, 0});
         beginClaim(router.own, claim, this->clock.now());
         router.open.push_back(claim);
-        const std::uint64_t issued = this->dated ? this->firstSent(key) : 0;
+        const std::uint64_t issued = this->statesKeyTime ? this->firstSent(key) : 0;
         enqueueClaim(router.log, {claim, issued});
-        if (this->breakage == Breakage::DispatchEarly) {
+        if (this->injectedFault == InjectedFault::DispatchEarly) {
             router.ready.push_back(claim);
         }
         if (this->nonces % 2 == 0) {
@@ -188,15 +188,15 @@
         const Claim claim = router.ready.front();
         router.ready.erase(router.ready.begin());
         if (dispatchClaim(router.own, claim.nonce, this->clock.now())
-            || this->breakage == Breakage::DispatchAbandoned) {
+            || this->injectedFault == InjectedFault::DispatchAbandoned) {
             this->history.push_back({HistoryKind::Ran, claim.id.high, claim.nonce, 0});
-            if (this->breakage == Breakage::ReleaseDispatched) {
+            if (this->injectedFault == InjectedFault::ReleaseDispatched) {
                 releaseClaim(router.log, claim);
             }
         }
     }
 
-    void giveUp(std::size_t index)
+    void abandon(std::size_t index)
     {
         Router &router = this->routers[index];
         if (router.open.empty()) {
@@ -223,7 +223,7 @@
         }
         StoreResponse answer;
         if (fault == StoreFault::Late && call->write) {
-            this->late.push_back(*call);
+            this->lateWrites.push_back(*call);
         } else if (fault == StoreFault::AnswerLost) {
             this->apply(*call);
         } else if (fault == StoreFault::Down) {
@@ -236,18 +236,18 @@
 
     void applyLate()
     {
-        if (!this->late.empty()) {
-            this->apply(this->late.front());
-            this->late.erase(this->late.begin());
+        if (!this->lateWrites.empty()) {
+            this->apply(this->lateWrites.front());
+            this->lateWrites.erase(this->lateWrites.begin());
         }
     }
 
     StoreResponse apply(const StoreCall &call)
     {
         Object &object = this->store[call.name];
-        const bool holds =
-            object.version == call.ifVersion || this->breakage == Breakage::UnconditionalWrites;
-        if (call.write && holds) {
+        const bool matches = object.version == call.ifVersion
+                             || this->injectedFault == InjectedFault::UnconditionalWrites;
+        if (call.write && matches) {
             object = {++this->storeVersion, call.body};
             return {StoreOutcome::Ok, object.version, object.body};
         }
@@ -258,12 +258,12 @@
                 object.body};
     }
 
-    Breakage breakage;
+    InjectedFault injectedFault;
     ClaimLogLimits limits;
     ManualClock clock;
     std::map<std::size_t, Router> routers;
     std::map<std::string, Object> store;
-    std::vector<StoreCall> late;
+    std::vector<StoreCall> lateWrites;
     std::map<std::uint64_t, std::uint64_t> issued;
     std::uint64_t storeVersion = 0;
     std::uint64_t processes = 0;
@@ -271,7 +271,7 @@
 
 public:
     /// Whether callers state when they created their keys.
-    bool dated = false;
+    bool statesKeyTime = false;
 };
 
 } // namespace plantainswitch::lab
--- a/tests/concurrency.cpp
+++ b/tests/concurrency.cpp
@@ -91,7 +91,7 @@
     CatalogueTable catalogue;
     MemberTable members;
     UpstreamTable upstreams;
-    ShardCoordinator keeper;
+    ShardCoordinator coordinator;
     ExplainTable explain;
     Metrics metrics;
     const Shard shard{"model", "here", 0};
@@ -106,23 +106,23 @@
             static_cast<void>(members.active());
             upstreams.replace({{name, VmRole::Engine, "model", "here", {"127.0.0.1", 1}, false}});
             static_cast<void>(upstreams.ready("model", "here", now));
-            const std::uint32_t askId = round;
-            const SlotRequest ask{askId, shard, round, round, {}};
-            keeper.grant(thread, ask, {engines, {}, false}, true, now);
-            keeper.release(thread, {shardIdOf(shard), {askId}});
+            const std::uint32_t requestId = round;
+            const SlotRequest request{requestId, shard, round, round, {}};
+            coordinator.grant(thread, request, {engines, {}, false}, true, now);
+            coordinator.release(thread, {shardIdOf(shard), {requestId}});
             explain.record({name, {"step"}});
             metrics.record(Timing::Whole, name, "class", Milliseconds{round}, TimePoint{});
             metrics.count(Counter::Requests);
         }
     });
-    CHECK(keeper.loads(shardIdOf(shard)).empty());
+    CHECK(coordinator.loads(shardIdOf(shard)).empty());
     CHECK(metrics.value(Counter::Requests) == std::uint64_t{threadCount} * rounds);
     CHECK(catalogue.view()->version == rounds);
 }
 
 TEST_CASE_METHOD(HttpFixture, "httpClient_manyThreads_eachGetsItsOwnWholeAnswer", "[concurrency]")
 {
-    std::atomic<int> wrong = 0;
+    std::atomic<int> failures = 0;
     runTogether([&](std::uint32_t thread) {
         for (int round = 0; round < 50; ++round) {
             const std::string name = std::to_string(thread) + "-" + std::to_string(round);
@@ -135,10 +135,10 @@
             const net::HttpResponse got = answer.get_future().get();
             const bool good = got.outcome == net::HttpOutcome::Complete
                               && got.headers.at("x-echo") == name && got.body.size() == 50;
-            wrong += good ? 0 : 1;
+            failures += good ? 0 : 1;
         }
     });
-    CHECK(wrong == 0);
+    CHECK(failures == 0);
 }
 
 TEST_CASE_METHOD(HttpFixture, "httpClient_brokenOffAnswer_isNotWhole", "[concurrency]")
@@ -217,8 +217,9 @@
                 continue;
             }
             const auto view = table.view();
-            const bool whole = view->workspaces.at("a").weight == view->workspaces.at("b").weight;
-            torn += whole ? 0 : 1;
+            const bool consistent =
+                view->workspaces.at("a").weight == view->workspaces.at("b").weight;
+            torn += consistent ? 0 : 1;
         }
     });
     CHECK(torn == 0);
--- a/tests/fairqueue.cpp
+++ b/tests/fairqueue.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-constexpr std::uint32_t allowedWait = 1000;
+constexpr std::uint32_t maxWaitMilliseconds = 1000;
 
-SlotRequest askOf(std::uint32_t id, std::uint64_t workspace, std::uint32_t weight = 1,
-                  std::uint32_t priority = 0)
+SlotRequest requestOf(std::uint32_t id, std::uint64_t workspace, std::uint32_t weight = 1,
+                      std::uint32_t priority = 0)
 {
-    SlotRequest ask{id, {"model", "hall-a", 0}, id, id, {}};
-    ask.waitMilliseconds = allowedWait;
-    ask.workspace = workspace;
-    ask.weight = weight;
-    ask.priority = priority;
-    return ask;
+    SlotRequest request{id, {"model", "hall-a", 0}, id, id, {}};
+    request.waitMilliseconds = maxWaitMilliseconds;
+    request.workspace = workspace;
+    request.weight = weight;
+    request.priority = priority;
+    return request;
 }
 
 class QueueFixture
 {
 protected:
-    QueueVerdict add(const SlotRequest &ask)
+    QueueVerdict add(const SlotRequest &request)
     {
-        return enqueueRequest(this->queue, 1, ask, this->settings, this->clock.now()).verdict;
+        return enqueueRequest(this->queue, 1, request, this->settings, this->clock.now()).verdict;
     }
 
     std::uint64_t serve()
@@ -43,26 +43,26 @@
 };
 
 /// Generated history of a coordinator with one engine and its queue.
-struct KeeperHistory
+struct CoordinatorHistory
 {
     enum class Fault { None, GrantAfterExpiry, FirstInFirstOut, Unbounded };
 
     void arrive(std::uint64_t workspace)
     {
-        const SlotRequest ask = askOf(this->nextId++, workspace);
+        const SlotRequest request = requestOf(this->nextId++, workspace);
         QueueSettings settings;
-        settings.maxPerWeight = this->fault == Fault::Unbounded ? 100'000 : mostQueued;
-        SlotRequest queued = ask;
+        settings.maxPerWeight = this->fault == Fault::Unbounded ? 100'000 : maxQueued;
+        SlotRequest queued = request;
         queued.workspace = this->fault == Fault::FirstInFirstOut ? 0 : workspace;
         queued.waitMilliseconds =
-            this->fault == Fault::Unbounded ? 1000 * allowedWait : allowedWait;
+            this->fault == Fault::Unbounded ? 1000 * maxWaitMilliseconds : maxWaitMilliseconds;
         const auto outcome = enqueueRequest(this->queue, 1, queued, settings, this->clock.now());
         if (outcome.verdict == QueueVerdict::Queued) {
-            this->waiting[ask.requestId] = workspace;
+            this->waiting[request.requestId] = workspace;
         } else if (workspace == quiet) {
             ++this->quietUnserved;
         }
-        this->longest = std::max(this->longest, this->queue.length);
+        this->maxLength = std::max(this->maxLength, this->queue.length);
     }
 
     void expire()
@@ -94,14 +94,14 @@
     }
 
     static constexpr std::uint64_t quiet = 99;
-    static constexpr std::size_t mostQueued = 8;
+    static constexpr std::size_t maxQueued = 8;
 
     Fault fault = Fault::None;
     ManualClock clock;
     FairQueue queue;
     ShardState shard;
     std::uint32_t nextId = 1;
-    std::size_t longest = 0;
+    std::size_t maxLength = 0;
     std::size_t quietUnserved = 0;
     std::map<std::uint32_t, std::uint64_t> waiting;
     std::set<std::uint32_t> expired;
@@ -111,9 +111,9 @@
 /// Drives arrivals of three surging workspaces and a quiet one, with a free slot every 50 ms.
 /// \returns whether the queue was bounded, no quiet workspace starved and no request ended in two
 /// ways.
-bool historyHolds(KeeperHistory::Fault fault)
+bool historyHolds(CoordinatorHistory::Fault fault)
 {
-    KeeperHistory history;
+    CoordinatorHistory history;
     history.fault = fault;
     const auto arrivals =
         *rc::gen::container<std::vector<std::uint32_t>>(200, rc::gen::inRange<std::uint32_t>(0, 6));
@@ -123,7 +123,7 @@
             history.arrive(each % 3 + 1);
         }
         if (++step % 20 == 0) {
-            history.arrive(KeeperHistory::quiet);
+            history.arrive(CoordinatorHistory::quiet);
         }
         history.clock.advance(Milliseconds{50});
         // The router repeats waiting requests, so that none times out.
@@ -135,9 +135,11 @@
         history.expire();
         history.serve();
     }
-    const bool twice = std::any_of(history.expired.begin(), history.expired.end(),
-                                   [&](std::uint32_t id) { return history.granted.contains(id); });
-    return !twice && history.quietUnserved == 0 && history.longest <= 4 * KeeperHistory::mostQueued;
+    const bool endedTwice =
+        std::any_of(history.expired.begin(), history.expired.end(),
+                    [&](std::uint32_t id) { return history.granted.contains(id); });
+    return !endedTwice && history.quietUnserved == 0
+           && history.maxLength <= 4 * CoordinatorHistory::maxQueued;
 }
 
 } // namespace
@@ -147,10 +149,10 @@
     // Workspace 1 fills the queue before workspace 2 sends a single request. In order of arrival
     // that request would wait behind the whole surge; here it is served first or second.
     for (std::uint32_t id = 1; id <= 50; ++id) {
-        this->add(askOf(id, 1));
+        this->add(requestOf(id, 1));
     }
     this->serve();
-    this->add(askOf(100, 2));
+    this->add(requestOf(100, 2));
     const std::uint64_t first = this->serve();
     const std::uint64_t second = this->serve();
     CHECK((first == 2 || second == 2));
@@ -159,8 +161,8 @@
 TEST_CASE_METHOD(QueueFixture, "fairQueue_weights_shareSlotsInProportion", "[fairqueue]")
 {
     for (std::uint32_t id = 0; id < 100; ++id) {
-        this->add(askOf(2 * id, 1, 3));
-        this->add(askOf(2 * id + 1, 2, 1));
+        this->add(requestOf(2 * id, 1, 3));
+        this->add(requestOf(2 * id + 1, 2, 1));
     }
     std::size_t heavy = 0;
     for (int turn = 0; turn < 80; ++turn) {
@@ -172,15 +174,15 @@
 
 TEST_CASE_METHOD(QueueFixture, "fairQueue_priorities_orderOneWorkspaceOnly", "[fairqueue]")
 {
-    this->add(askOf(1, 1, 1, 0));
-    this->add(askOf(2, 1, 1, 9));
+    this->add(requestOf(1, 1, 1, 0));
+    this->add(requestOf(2, 1, 1, 9));
     CHECK(peekRequest(this->queue)->request.requestId == 2);
 }
 
 TEST_CASE_METHOD(QueueFixture, "fairQueue_repeatedAsk_isQueuedOnce", "[fairqueue]")
 {
-    CHECK(this->add(askOf(1, 1)) == QueueVerdict::Queued);
-    CHECK(this->add(askOf(1, 1)) == QueueVerdict::Repeated);
+    CHECK(this->add(requestOf(1, 1)) == QueueVerdict::Queued);
+    CHECK(this->add(requestOf(1, 1)) == QueueVerdict::Repeated);
     CHECK(this->queue.length == 1);
 }
 
@@ -188,8 +190,8 @@
 {
     // A router dies while its requests wait. If they were granted later, their slots would stay
     // taken until the member timeout, so a router that doesn't repeat its requests is removed.
-    this->add(askOf(1, 1));
-    this->add(askOf(2, 1));
+    this->add(requestOf(1, 1));
+    this->add(requestOf(2, 1));
     CHECK(cancelRequest(this->queue, {1, 1}));
     this->clock.advance(requesterTimeout + Milliseconds{1});
     CHECK(expireRequests(this->queue, this->clock.now()).size() == 1);
@@ -201,7 +203,7 @@
     // A slot becomes free every 100 ms and a request waits for at most a second. The eleventh of a
     // workspace can't be served in time; queueing it would only delay its refusal.
     for (std::uint32_t id = 1; id <= 8; ++id) {
-        this->add(askOf(id, 1));
+        this->add(requestOf(id, 1));
     }
     for (int turn = 0; turn < 5; ++turn) {
         this->clock.advance(Milliseconds{100});
@@ -210,22 +212,23 @@
     std::uint32_t id = 100;
     EnqueueResult outcome;
     do {
-        outcome = enqueueRequest(this->queue, 1, askOf(id++, 1), this->settings, this->clock.now());
+        outcome =
+            enqueueRequest(this->queue, 1, requestOf(id++, 1), this->settings, this->clock.now());
     } while (outcome.verdict == QueueVerdict::Queued);
     CHECK(this->queue.length == 10);
-    CHECK(outcome.expectedWait > Milliseconds{allowedWait});
-    CHECK(this->add(askOf(200, 2)) == QueueVerdict::Queued);
+    CHECK(outcome.expectedWait > Milliseconds{maxWaitMilliseconds});
+    CHECK(this->add(requestOf(200, 2)) == QueueVerdict::Queued);
 }
 
 TEST_CASE("fairQueue_anyHistory_boundedFairAndTruthful", "[fairqueue]")
 {
     CHECK(rc::check("bounded, nobody starves, expired or granted but not both",
-                    [] { RC_ASSERT(historyHolds(KeeperHistory::Fault::None)); }));
+                    [] { RC_ASSERT(historyHolds(CoordinatorHistory::Fault::None)); }));
 }
 
 TEST_CASE("fairQueue_brokenVariants_areCaughtByTheChecker", "[fairqueue]")
 {
-    using Fault = KeeperHistory::Fault;
+    using Fault = CoordinatorHistory::Fault;
     for (const Fault fault : {Fault::GrantAfterExpiry, Fault::FirstInFirstOut, Fault::Unbounded}) {
         CHECK_FALSE(rc::check("broken on purpose", [fault] { RC_ASSERT(historyHolds(fault)); }));
     }
--- a/tests/fleetfreeze.cpp
+++ b/tests/fleetfreeze.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint16_t ownPorts = 30'800;
 constexpr std::uint32_t routers = 3;
-constexpr std::uint32_t triesToFreezeInTime = 20;
+constexpr std::uint32_t maxFreezeAttempts = 20;
 
 class FreezeFixture
 {
@@ -23,7 +23,7 @@
         REQUIRE(this->fleet.startAndConverge());
     }
 
-    std::future<SendAttempt> sendAside(std::uint32_t order, std::size_t router)
+    std::future<SendAttempt> sendAsync(std::uint32_t order, std::size_t router)
     {
         return std::async(std::launch::async,
                           [=, this] { return this->orders.send(order, router); });
@@ -35,7 +35,7 @@
     }
 
     /// Waits until the others have removed router 0, which exceeds all their timeouts for it.
-    [[nodiscard]] bool eventuallyGone()
+    [[nodiscard]] bool eventuallyRemoved()
     {
         return Fleet::eventually([this] {
             return this->fleet.memberCount(1) == routers - 1
@@ -55,13 +55,13 @@
     std::uint32_t freezeBeforeDispatch(std::future<SendAttempt> &caller)
     {
         this->fleet.setFaults({{"slowMilliseconds", 1500}});
-        for (std::uint32_t order = 1; order <= triesToFreezeInTime; ++order) {
+        for (std::uint32_t order = 1; order <= maxFreezeAttempts; ++order) {
             const std::string before = this->claimLog();
-            const std::size_t ran = this->fleet.standIns.runs->keys();
-            caller = this->sendAside(order, 0);
-            const bool written = Fleet::eventually([&] { return this->claimLog() != before; });
+            const std::size_t runsBefore = this->fleet.standIns.runs->keys();
+            caller = this->sendAsync(order, 0);
+            const bool isWritten = Fleet::eventually([&] { return this->claimLog() != before; });
             this->fleet.freezeRouter(0);
-            if (written && this->fleet.standIns.runs->keys() == ran) {
+            if (isWritten && this->fleet.standIns.runs->keys() == runsBefore) {
                 this->fleet.setFaults({{"slowMilliseconds", 0}});
                 return order;
             }
@@ -72,7 +72,7 @@
         return 0;
     }
 
-    void expectPromisesKept()
+    void checkGuarantees()
     {
         const auto violation = checkOrders(this->orders.history());
         INFO(violation.value_or(""));
@@ -95,7 +95,7 @@
     // twice.
     std::future<SendAttempt> first;
     const std::uint32_t order = this->freezeBeforeDispatch(first);
-    REQUIRE(this->eventuallyGone());
+    REQUIRE(this->eventuallyRemoved());
     for (std::size_t router = 1; router < routers; ++router) {
         const SendAttempt repeat = this->orders.send(order, router);
         CHECK(repeat.refusal == "may-have-run");
@@ -104,7 +104,7 @@
     this->fleet.thawRouter(0);
     first.wait();
     CHECK(this->eventuallyAnswered(order, 1));
-    this->expectPromisesKept();
+    this->checkGuarantees();
 }
 
 TEST_CASE_METHOD(FreezeFixture, "order_ownerFrozenWhileItRuns_answersAfterTheThaw", "[fleetfreeze]")
@@ -114,18 +114,18 @@
     // the pause the router must relay the response to its caller, and further retries must get the
     // same one.
     this->fleet.standIns.orders->hold();
-    auto first = this->sendAside(1, 0);
+    auto first = this->sendAsync(1, 0);
     REQUIRE(Fleet::eventually([this] { return this->fleet.standIns.runs->keys() == 1; }));
     this->fleet.freezeRouter(0);
     this->fleet.standIns.orders->letGo();
-    REQUIRE(this->eventuallyGone());
+    REQUIRE(this->eventuallyRemoved());
     for (std::size_t router = 1; router < routers; ++router) {
         CHECK(this->orders.send(1, router).refusal == "may-have-run");
     }
     this->fleet.thawRouter(0);
     CHECK(first.get().answered);
     CHECK(this->eventuallyAnswered(1, 2));
-    this->expectPromisesKept();
+    this->checkGuarantees();
 }
 
 TEST_CASE_METHOD(FreezeFixture, "fleet_oneRouterFrozen_othersServeAndItComesBack", "[fleetfreeze]")
@@ -139,12 +139,12 @@
     for (std::uint32_t order = 1; order <= keys; ++order) {
         CHECK(this->eventuallyAnswered(order, 1 + order % 2));
     }
-    REQUIRE(this->eventuallyGone());
+    REQUIRE(this->eventuallyRemoved());
     this->fleet.thawRouter(0);
     CHECK(Fleet::eventually([this] { return this->fleet.hasConverged(); }));
     for (std::uint32_t order = 1; order <= allKeys; ++order) {
         CHECK(this->eventuallyAnswered(order, 0));
     }
     CHECK(this->fleet.standIns.runs->keys() == allKeys);
-    this->expectPromisesKept();
+    this->checkGuarantees();
 }
--- a/tests/fleethistory.cpp
+++ b/tests/fleethistory.cpp
@@ -16,11 +16,11 @@
 constexpr std::uint16_t ownPorts = 31'200;
 constexpr std::size_t routerCount = 3;
 constexpr std::uint32_t callers = 4;
-constexpr std::uint32_t mostOrders = 10'000;
-constexpr std::uint32_t sendingsOfOrder = 6;
+constexpr std::uint32_t maxOrdersPerCaller = 10'000;
+constexpr std::uint32_t maxAttemptsPerOrder = 6;
 constexpr std::uint32_t faultRounds = 8;
 
-void expectNone(const std::optional<std::string> &violation)
+void checkNoViolation(const std::optional<std::string> &violation)
 {
     INFO(violation.value_or(""));
     CHECK_FALSE(violation.has_value());
@@ -40,25 +40,25 @@
     void runCaller(std::uint32_t caller)
     {
         std::mt19937 random(caller);
-        for (std::uint32_t index = 0; !this->faultsEnded && index < mostOrders; ++index) {
-            const std::uint32_t order = caller * mostOrders + index;
+        for (std::uint32_t index = 0; !this->faultsEnded && index < maxOrdersPerCaller; ++index) {
+            const std::uint32_t order = caller * maxOrdersPerCaller + index;
             bool answered = false;
-            for (std::uint32_t turn = 0; turn < sendingsOfOrder && !answered; ++turn) {
+            for (std::uint32_t attempt = 0; attempt < maxAttemptsPerOrder && !answered; ++attempt) {
                 answered = this->orders.send(order, random() % routerCount).answered;
             }
         }
     }
 
-    void breakThings()
+    void injectFaults()
     {
         std::mt19937 random(callers);
         for (std::uint32_t round = 0; round < faultRounds; ++round) {
             switch (round % 4) {
             case 0: {
-                const std::size_t victim = random() % routerCount;
-                this->fleet.killRouter(victim);
-                this->fleet.startRouter(victim);
-                static_cast<void>(this->fleet.awaitReady(victim));
+                const std::size_t target = random() % routerCount;
+                this->fleet.killRouter(target);
+                this->fleet.startRouter(target);
+                static_cast<void>(this->fleet.awaitReady(target));
                 break;
             }
             case 1:
@@ -97,7 +97,7 @@
     for (std::uint32_t caller = 0; caller < callers; ++caller) {
         threads.emplace_back([this, caller] { this->runCaller(caller); });
     }
-    this->breakThings();
+    this->injectFaults();
     this->faultsEnded = true;
     for (std::thread &thread : threads) {
         thread.join();
@@ -111,9 +111,9 @@
     for (const auto &[name, count] : counts) {
         UNSCOPED_INFO(name << ": " << count);
     }
-    expectNone(checkAtMostOnce(history));
-    expectNone(checkOwnAnswer(history));
-    expectNone(checkNoFalseNotRun(history));
+    checkNoViolation(checkAtMostOnce(history));
+    checkNoViolation(checkOwnAnswer(history));
+    checkNoViolation(checkNoFalseNotRun(history));
     const auto answered = std::count_if(sendings.begin(), sendings.end(),
                                         [](const SendAttempt &each) { return each.answered; });
     CHECK(answered > 0);
@@ -135,7 +135,7 @@
         const auto guard = asio::make_work_guard(context);
         context.run();
     });
-    this->breakThings();
+    this->injectFaults();
     worker.join();
     INFO(load.report().dump());
     CHECK(load.broken() == 0);
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr Milliseconds turn{20};
+constexpr Milliseconds tick{20};
 /// Guarantee: an edit is in force this long after it was accepted, on routers that have reached the
 /// platform for the second duration.
 constexpr Milliseconds editBound{2000};
-constexpr Milliseconds contactSpan{3000};
-constexpr Milliseconds loopPause{250};
-constexpr Milliseconds behindSpan{700};
+constexpr Milliseconds contactTime{3000};
+constexpr Milliseconds loopInterval{250};
+constexpr Milliseconds behindTimeout{700};
 constexpr Milliseconds listTimeout{1000};
 
 struct Edit
@@ -34,9 +34,9 @@
 };
 
 /// A platform that accepts watches, and never answers those that it held while it was unresponsive.
-struct SilentPlatform
+struct UnresponsivePlatform
 {
-    [[nodiscard]] bool isSilent(TimePoint from, TimePoint until) const
+    [[nodiscard]] bool isUnresponsive(TimePoint from, TimePoint until) const
     {
         return std::any_of(this->outages.begin(), this->outages.end(), [&](const Outage &outage) {
             return outage.from <= until && from < outage.until;
@@ -51,9 +51,9 @@
         return version;
     }
     /// \returns the version that must be in force everywhere.
-    [[nodiscard]] std::uint64_t versionDue(TimePoint now) const
+    [[nodiscard]] std::uint64_t requiredVersion(TimePoint now) const
     {
-        return this->isSilent(now - contactSpan, now) ? 0 : this->versionAt(now - editBound);
+        return this->isUnresponsive(now - contactTime, now) ? 0 : this->versionAt(now - editBound);
     }
 
     std::vector<Outage> outages;
@@ -63,37 +63,37 @@
 enum class Call : std::uint8_t { None, List, Watch };
 
 /// A router of a fleet that follows the configuration.
-class FollowingRouter
+class SimulatedRouter
 {
 public:
-    FollowingRouter(std::size_t number, std::size_t places, FreshnessPolicy policy)
+    SimulatedRouter(std::size_t number, std::size_t dataCentres, FreshnessPolicy policy)
         : number(number)
-        , place("hall-" + std::to_string(number % places))
-        , contacts(idOf(number), this->place)
+        , dataCentre("hall-" + std::to_string(number % dataCentres))
+        , contacts(idOf(number), this->dataCentre)
         , policy(policy)
     {}
 
     static std::string idOf(std::size_t number) { return "router-" + std::to_string(number); }
 
-    void run(const SilentPlatform &platform, TimePoint now)
+    void run(const UnresponsivePlatform &platform, TimePoint now)
     {
         if (this->call == Call::None && now >= this->nextCallAt) {
-            this->begin(this->nextCall, now);
+            this->startCall(this->nextCall, now);
         } else if (this->call != Call::None) {
-            this->awaitAnswer(platform, now);
+            this->awaitResponse(platform, now);
         }
-        if (now >= this->nextLookAt) {
-            this->nextLookAt = now + loopPause;
-            this->look(now);
+        if (now >= this->nextCheckAt) {
+            this->nextCheckAt = now + loopInterval;
+            this->check(now);
         }
     }
 
-    void update(const FollowingRouter &from, TimePoint now)
+    void update(const SimulatedRouter &from, TimePoint now)
     {
         RouterContact &contact = this->contacts.recordReceived(
-            {from.place, static_cast<std::uint16_t>(from.number)}, now);
+            {from.dataCentre, static_cast<std::uint16_t>(from.number)}, now);
         contact.id = idOf(from.number);
-        contact.dataCentre = from.place;
+        contact.dataCentre = from.dataCentre;
         contact.configVersion = from.version;
         contact.configConfirmed = from.confirmedAt;
         contact.storeConnected = from.failures == 0;
@@ -104,34 +104,35 @@
     std::size_t calls = 0;
 
 private:
-    void begin(Call kind, TimePoint now)
+    void startCall(Call kind, TimePoint now)
     {
         this->call = kind;
         this->calledAt = now;
         this->calls += 1;
         const bool isConfirmer = this->contacts.confirmerRank(now) == 0;
-        this->held = kind == Call::Watch ? watchWait(this->policy, isConfirmer) : Milliseconds{0};
+        this->currentWatchWait =
+            kind == Call::Watch ? watchWait(this->policy, isConfirmer) : Milliseconds{0};
     }
 
-    void awaitAnswer(const SilentPlatform &platform, TimePoint now)
+    void awaitResponse(const UnresponsivePlatform &platform, TimePoint now)
     {
-        const bool isLost = platform.isSilent(this->calledAt, now);
+        const bool isLost = platform.isUnresponsive(this->calledAt, now);
         const bool isNewer = platform.versionAt(now) > this->version;
-        const bool isDue = isNewer || now - this->calledAt >= this->held;
+        const bool isDue = isNewer || now - this->calledAt >= this->currentWatchWait;
         if (!isLost && isDue) {
-            this->timeout.recordResponse(turn);
-            this->answered(platform.versionAt(now), isNewer, now);
+            this->timeout.recordResponse(tick);
+            this->handleResponse(platform.versionAt(now), isNewer, now);
             return;
         }
         const Milliseconds limit = this->call == Call::List
                                        ? std::max(listTimeout, this->timeout.value())
-                                       : this->held + this->timeout.value();
+                                       : this->currentWatchWait + this->timeout.value();
         if (now - this->calledAt > limit) {
             this->fail(now);
         }
     }
 
-    void answered(std::uint64_t newest, bool isNewer, TimePoint now)
+    void handleResponse(std::uint64_t newest, bool isNewer, TimePoint now)
     {
         this->version = newest;
         this->confirmedAt = now;
@@ -139,9 +140,9 @@
         this->call = Call::None;
         this->nextCall = Call::Watch;
         const bool isStandby = this->contacts.watchRank(now).value_or(1) > 0;
-        const Milliseconds pause =
+        const Milliseconds delay =
             isStandby ? this->policy.standbyCoalesceDelay : this->policy.coalesceDelay;
-        this->nextCallAt = now + (isNewer ? pause : Milliseconds{0});
+        this->nextCallAt = now + (isNewer ? delay : Milliseconds{0});
     }
 
     void fail(TimePoint now)
@@ -149,7 +150,7 @@
         this->failures += 1;
         this->timeout.recordTimeout();
         if (this->call == Call::Watch) {
-            this->begin(Call::List, now);
+            this->startCall(Call::List, now);
             return;
         }
         this->call = Call::None;
@@ -157,35 +158,35 @@
         this->nextCall = Call::List;
     }
 
-    void look(TimePoint now)
+    void check(TimePoint now)
     {
         const TimePoint fleet = this->contacts.configConfirmedAt(this->version, now);
-        const ConfirmationState situation{now - std::max(fleet, this->confirmedAt),
-                                          this->contacts.confirmerRank(now), this->timeout.value(),
-                                          this->held};
+        const ConfirmationState state{now - std::max(fleet, this->confirmedAt),
+                                      this->contacts.confirmerRank(now), this->timeout.value(),
+                                      this->currentWatchWait};
         const bool isBehind = this->newestKnown > this->version;
         this->behindSince = isBehind ? this->behindSince.value_or(now) : now;
-        const bool isLate = isBehind && now - *this->behindSince >= behindSpan;
-        if (this->call == Call::Watch && isConfirmationDue(this->policy, situation)) {
-            this->begin(Call::Watch, now);
+        const bool isLate = isBehind && now - *this->behindSince >= behindTimeout;
+        if (this->call == Call::Watch && isConfirmationDue(this->policy, state)) {
+            this->startCall(Call::Watch, now);
         } else if (this->call == Call::Watch
-                   && (isLate || isConfirmationOverdue(this->policy, situation))) {
+                   && (isLate || isConfirmationOverdue(this->policy, state))) {
             this->failures = 1;
-            this->begin(Call::List, now);
+            this->startCall(Call::List, now);
         }
     }
 
     std::size_t number;
-    std::string place;
+    std::string dataCentre;
     RouterContacts contacts;
     FreshnessPolicy policy;
     AdaptiveTimeout timeout;
     Call call = Call::None;
     Call nextCall = Call::List;
     TimePoint calledAt;
-    Milliseconds held{0};
+    Milliseconds currentWatchWait{0};
     TimePoint nextCallAt;
-    TimePoint nextLookAt;
+    TimePoint nextCheckAt;
     TimePoint confirmedAt;
     std::uint32_t failures = 0;
     std::uint64_t newestKnown = 0;
@@ -195,7 +196,7 @@
 struct Outcome
 {
     /// Number of steps in which a router served with outdated configuration.
-    std::size_t staleTurns = 0;
+    std::size_t staleTicks = 0;
     std::size_t calls = 0;
 };
 
@@ -203,31 +204,31 @@
 {
 protected:
     /// Runs a fleet against \a platform for \a span.
-    static Outcome play(const SilentPlatform &platform, std::size_t routers, Milliseconds span,
-                        const FreshnessPolicy &policy)
+    static Outcome simulate(const UnresponsivePlatform &platform, std::size_t routers,
+                            Milliseconds span, const FreshnessPolicy &policy)
     {
-        constexpr std::size_t places = 3;
-        std::vector<FollowingRouter> fleet;
+        constexpr std::size_t dataCentres = 3;
+        std::vector<SimulatedRouter> fleet;
         for (std::size_t number = 0; number < routers; ++number) {
-            fleet.emplace_back(number, places, policy);
+            fleet.emplace_back(number, dataCentres, policy);
         }
         Outcome outcome;
-        const TimePoint begin = start();
-        for (TimePoint now = begin; now < begin + span; now += turn) {
-            const bool isUpdate = (now - begin) % gossipInterval == Duration{0};
-            for (FollowingRouter &router : fleet) {
+        const TimePoint startCall = start();
+        for (TimePoint now = startCall; now < startCall + span; now += tick) {
+            const bool isUpdate = (now - startCall) % gossipInterval == Duration{0};
+            for (SimulatedRouter &router : fleet) {
                 router.run(platform, now);
-                for (const FollowingRouter &other : fleet) {
+                for (const SimulatedRouter &other : fleet) {
                     if (isUpdate && &other != &router) {
                         router.update(other, now);
                     }
                 }
-                const bool isSettled = now - begin >= contactSpan;
-                outcome.staleTurns +=
-                    isSettled && router.version < platform.versionDue(now) ? 1 : 0;
+                const bool isSettled = now - startCall >= contactTime;
+                outcome.staleTicks +=
+                    isSettled && router.version < platform.requiredVersion(now) ? 1 : 0;
             }
         }
-        for (const FollowingRouter &router : fleet) {
+        for (const SimulatedRouter &router : fleet) {
             outcome.calls += router.calls;
         }
         return outcome;
@@ -236,13 +237,13 @@
     static TimePoint start() { return TimePoint{Seconds{1000}}; }
 
     /// \returns a platform that is unresponsive at times while its configuration is edited.
-    static SilentPlatform platformOf(std::uint64_t seed)
+    static UnresponsivePlatform platformOf(std::uint64_t seed)
     {
         std::mt19937_64 random(seed);
-        const auto between = [&random](int least, int most) {
-            return Milliseconds{std::uniform_int_distribution<int>(least, most)(random)};
+        const auto between = [&random](int min, int max) {
+            return Milliseconds{std::uniform_int_distribution<int>(min, max)(random)};
         };
-        SilentPlatform platform;
+        UnresponsivePlatform platform;
         TimePoint at = start() + between(5000, 8000);
         for (int outage = 0; outage < 3; ++outage) {
             const TimePoint until = at + between(200, 6000);
@@ -271,8 +272,8 @@
         for (std::uint64_t seed = 1; seed <= 25; ++seed) {
             INFO("routers " << routers << ", seed " << seed);
             const Outcome outcome =
-                play(platformOf(seed), routers, Seconds{45}, freshnessWithin(contactSpan));
-            CHECK(outcome.staleTurns == 0);
+                simulate(platformOf(seed), routers, Seconds{45}, freshnessWithin(contactTime));
+            CHECK(outcome.staleTicks == 0);
         }
     }
 }
@@ -282,7 +283,7 @@
     const FreshnessPolicy never{Seconds{20}, Seconds{20}, Milliseconds{250}};
     std::size_t stale = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        stale += play(platformOf(seed), 8, Seconds{45}, never).staleTurns;
+        stale += simulate(platformOf(seed), 8, Seconds{45}, never).staleTicks;
     }
     CHECK(stale > 0);
 }
@@ -291,7 +292,7 @@
 {
     constexpr std::size_t routers = 8;
     const Outcome outcome =
-        play(SilentPlatform{}, routers, Seconds{60}, freshnessWithin(contactSpan));
+        simulate(UnresponsivePlatform{}, routers, Seconds{60}, freshnessWithin(contactTime));
     constexpr std::size_t byConfirmer = 40;
     constexpr std::size_t byOthers = 3 * (routers - 1);
     CHECK(outcome.calls <= byConfirmer + byOthers + routers);
@@ -324,7 +325,7 @@
 {
     // Guards against one call per change from every watcher of a data centre, and against a standby
     // that keeps waiting when the first watcher is lost.
-    const FreshnessPolicy policy = freshnessWithin(contactSpan);
+    const FreshnessPolicy policy = freshnessWithin(contactTime);
     CHECK(policy.standbyCoalesceDelay > policy.coalesceDelay);
     CHECK_FALSE(isWatchDue(policy, policy.coalesceDelay, true));
     CHECK(isWatchDue(policy, policy.coalesceDelay, false));
--- a/tests/inforce.cpp
+++ b/tests/inforce.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-Entry classAt(std::uint64_t version, const std::string &place)
+Entry classAt(std::uint64_t version, const std::string &dataCentre)
 {
-    return {{EntryKind::DataClass, "regulated"}, version, DataClass{"o", {place}, 0}};
+    return {{EntryKind::DataClass, "regulated"}, version, DataClass{"o", {dataCentre}, 0}};
 }
 
 /// A deliberately broken table that accepts whatever arrives last.
@@ -37,16 +37,16 @@
 /// lists.
 /// \returns whether the version in force ever decreased.
 template<typename Table>
-bool versionFalls(const std::vector<std::uint64_t> &history)
+bool versionDecreases(const std::vector<std::uint64_t> &history)
 {
     Table table;
-    std::uint64_t before = 0;
+    std::uint64_t earlier = 0;
     for (const std::uint64_t version : history) {
         table.merge({classAt(version, "hall-a")});
-        if (table.version() < before) {
+        if (table.version() < earlier) {
             return true;
         }
-        before = table.version();
+        earlier = table.version();
     }
     return false;
 }
@@ -65,10 +65,10 @@
     const bool held = rc::check("versions never fall", [] {
         const auto history =
             *rc::gen::container<std::vector<std::uint64_t>>(rc::gen::inRange<std::uint64_t>(1, 50));
-        RC_ASSERT_FALSE(versionFalls<RealTable>(history));
+        RC_ASSERT_FALSE(versionDecreases<RealTable>(history));
     });
     CHECK(held);
-    CHECK(versionFalls<LastWinsTable>({3, 2}));
+    CHECK(versionDecreases<LastWinsTable>({3, 2}));
 }
 
 TEST_CASE_METHOD(InForceFixture, "inForce_unreadableEdit_keepsLastGoodAndTakesOthers", "[inforce]")
@@ -76,9 +76,9 @@
     // One batch holds an entry that this version can't parse and one that it can. The first keeps
     // its last good body in force and is passed on unchanged; the second is merged.
     this->table.merge({classAt(1, "hall-a")});
-    const Entry unread{{EntryKind::DataClass, "regulated"}, 2, std::nullopt, "{\"new\":1}"};
+    const Entry unreadable{{EntryKind::DataClass, "regulated"}, 2, std::nullopt, "{\"new\":1}"};
     const Entry other{{EntryKind::DataClass, "other"}, 3, DataClass{"o", {"hall-b"}, 0}};
-    CHECK(this->table.merge({unread, other}) == 2);
+    CHECK(this->table.merge({unreadable, other}) == 2);
     CHECK(this->table.view()->dataClasses.at("regulated").dataCentres.front() == "hall-a");
     CHECK(this->table.view()->dataClasses.contains("other"));
     CHECK(this->table.unreadable().size() == 1);
--- a/tests/keeperloss.cpp
+++ b/tests/keeperloss.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr std::uint16_t ownPorts = 25500;
+constexpr std::uint16_t firstPort = 25500;
 constexpr std::uint32_t chats = 24;
 
 Deployment sixRouters()
 {
     Deployment deployment = *deploymentOf("lowther");
-    deployment.basePort = ownPorts;
+    deployment.basePort = firstPort;
     return deployment;
 }
 
@@ -27,7 +27,7 @@
     }
 
     /// \returns how many of the chats got a whole answer from \a router.
-    [[nodiscard]] std::uint32_t served(std::size_t router, const std::string &token)
+    [[nodiscard]] std::uint32_t countWholeAnswers(std::size_t router, const std::string &token)
     {
         std::uint32_t whole = 0;
         for (std::uint32_t chat = 0; chat < chats; ++chat) {
@@ -52,7 +52,7 @@
     // a short delay.
     this->fleet.killRouter(1);
     this->fleet.killRouter(2);
-    CHECK(this->served(0, "token-lowther-0") == chats);
+    CHECK(this->countWholeAnswers(0, "token-lowther-0") == chats);
 }
 
 TEST_CASE_METHOD(KeeperLossFixture, "router_alone_servesOnItsOwnCount", "[keeperloss]")
@@ -62,5 +62,5 @@
     for (std::size_t router = 1; router < this->fleet.layout.size(); ++router) {
         this->fleet.killRouter(router);
     }
-    CHECK(this->served(0, "token-lowther-0") == chats);
+    CHECK(this->countWholeAnswers(0, "token-lowther-0") == chats);
 }
--- a/tests/limits.cpp
+++ b/tests/limits.cpp
@@ -13,7 +13,7 @@
 
 /// Routers and owners over a link that loses, delays and duplicates; each has its own view of the
 /// fleet.
-struct LimitWorld
+struct LimitSimulation
 {
     struct Message
     {
@@ -24,17 +24,17 @@
         std::optional<LimitShares> shares;
     };
 
-    explicit LimitWorld(std::size_t routers)
+    explicit LimitSimulation(std::size_t routers)
         : locals(routers)
         , owned(routers)
         , ownerSeenBy(routers, 0)
-        , island(routers, 0)
+        , partition(routers, 0)
         , fleet(routers, FleetSize{routers, routers, {}})
     {}
 
     void send(Message message, Duration delay)
     {
-        if (this->island[message.from] == this->island[message.to]) {
+        if (this->partition[message.from] == this->partition[message.to]) {
             message.due = this->clock.now() + delay;
             this->link.push_back(std::move(message));
         }
@@ -118,7 +118,7 @@
     std::vector<LocalLimit> locals;
     std::vector<OwnedLimit> owned;
     std::vector<std::size_t> ownerSeenBy;
-    std::vector<int> island;
+    std::vector<int> partition;
     std::vector<FleetSize> fleet;
     std::deque<Message> link;
 };
@@ -129,33 +129,33 @@
 /// Drives a generated history. \returns whether the sum stayed within the documented factor.
 bool sumStaysBounded(bool brokenLateAnswers)
 {
-    LimitWorld world(routers);
+    LimitSimulation simulation(routers);
     const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(
         400, rc::gen::inRange<std::uint32_t>(0, 1'000'000));
     for (const std::uint32_t random : steps) {
         const std::size_t router = random % routers;
-        world.arrive(router, random / routers % 40);
-        world.report(router, Milliseconds(random / 7 % 1500));
+        simulation.arrive(router, random / routers % 40);
+        simulation.report(router, Milliseconds(random / 7 % 1500));
         // Owner 1 replaces owner 0; each router learns of it at its own time.
         if (random % 97 == 0) {
-            world.ownerSeenBy[router] = 1;
-            world.fleet[1].changedAt = world.clock.now();
+            simulation.ownerSeenBy[router] = 1;
+            simulation.fleet[1].changedAt = simulation.clock.now();
         }
-        if (random % 11 == 0 && !world.link.empty()) {
-            world.link.pop_front();
+        if (random % 11 == 0 && !simulation.link.empty()) {
+            simulation.link.pop_front();
         }
         if (brokenLateAnswers) {
-            for (const auto &message : world.link) {
+            for (const auto &message : simulation.link) {
                 if (message.shares) {
-                    world.locals[message.to].reportSequence = message.shares->sequence;
+                    simulation.locals[message.to].reportSequence = message.shares->sequence;
                 }
             }
-            world.owned[0].shares.clear();
-            world.owned[1].shares.clear();
+            simulation.owned[0].shares.clear();
+            simulation.owned[1].shares.clear();
         }
-        world.deliver(Milliseconds(random / 13 % 1500));
-        world.clock.advance(step);
-        if (world.sum() > maxOvershootFactor * world.limit.requestsPerSecond + 1e-6) {
+        simulation.deliver(Milliseconds(random / 13 % 1500));
+        simulation.clock.advance(step);
+        if (simulation.sum() > maxOvershootFactor * simulation.limit.requestsPerSecond + 1e-6) {
             return false;
         }
     }
@@ -171,18 +171,18 @@
         std::size_t admitted = 0;
         for (std::size_t each = 0; each < steps; ++each) {
             for (std::size_t router = 0; router < perStep.size(); ++router) {
-                admitted += this->world.arrive(router, perStep[router]);
-                this->world.report(router, Duration{0});
+                admitted += this->simulation.arrive(router, perStep[router]);
+                this->simulation.report(router, Duration{0});
             }
-            this->world.deliver(Duration{0});
-            this->world.deliver(Duration{0});
-            this->world.clock.advance(step);
+            this->simulation.deliver(Duration{0});
+            this->simulation.deliver(Duration{0});
+            this->simulation.clock.advance(step);
         }
         return admitted;
     }
 
     static constexpr std::size_t stepsInSecond = 20;
-    LimitWorld world{routers};
+    LimitSimulation simulation{routers};
 };
 
 } // namespace
@@ -219,16 +219,16 @@
     // routers. If the limit were divided by the visible routers, it would be admitted twice.
     this->offer(10 * stepsInSecond, std::vector<std::size_t>(routers, 2));
     for (std::size_t router = 3; router < routers; ++router) {
-        this->world.island[router] = 1;
-        this->world.ownerSeenBy[router] = 3;
+        this->simulation.partition[router] = 1;
+        this->simulation.ownerSeenBy[router] = 3;
     }
-    this->world.fleet.assign(routers, FleetSize{3, routers, {}});
+    this->simulation.fleet.assign(routers, FleetSize{3, routers, {}});
     this->offer(15 * stepsInSecond, std::vector<std::size_t>(routers, 2));
     const std::size_t admitted =
         this->offer(10 * stepsInSecond, std::vector<std::size_t>(routers, 2));
     CHECK(admitted <= 1000 + routers);
     CHECK(admitted >= 800);
-    this->world.fleet.assign(routers, FleetSize{3, 3, {}});
+    this->simulation.fleet.assign(routers, FleetSize{3, 3, {}});
     this->offer(15 * stepsInSecond, std::vector<std::size_t>(routers, 2));
     CHECK(this->offer(10 * stepsInSecond, std::vector<std::size_t>(routers, 2)) > 1500);
 }
@@ -236,12 +236,13 @@
 TEST_CASE_METHOD(LimitFixture, "limits_ownerUnreachable_fallsBackToSafePart", "[limits]")
 {
     this->offer(10 * stepsInSecond, std::vector<std::size_t>(routers, 2));
-    this->world.island[5] = 1;
+    this->simulation.partition[5] = 1;
     this->offer(10 * stepsInSecond, std::vector<std::size_t>(routers, 2));
-    const double rate = allowedRate(this->world.locals[5], this->world.limit, this->world.fleet[5],
-                                    this->world.settings, this->world.clock.now());
-    CHECK(rate == Approx(100 * this->world.settings.reserveFraction / routers));
-    CHECK(this->world.sum() <= 100.0 + 1e-6);
+    const double rate =
+        allowedRate(this->simulation.locals[5], this->simulation.limit, this->simulation.fleet[5],
+                    this->simulation.settings, this->simulation.clock.now());
+    CHECK(rate == Approx(100 * this->simulation.settings.reserveFraction / routers));
+    CHECK(this->simulation.sum() <= 100.0 + 1e-6);
 }
 
 TEST_CASE("limits_refusal_saysWhenToComeBack", "[limits]")
--- a/tests/limitsfleet.cpp
+++ b/tests/limitsfleet.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr std::uint16_t ownPorts = 29500;
+constexpr std::uint16_t basePort = 29500;
 constexpr std::uint32_t routers = 3;
 constexpr std::uint32_t workspaceRate = 20;
 const std::string token = "token-lowther-0";
 
 Deployment deploymentWith(std::uint32_t engines)
 {
-    Deployment deployment = lowtherDeployment(ownPorts, routers);
+    Deployment deployment = lowtherDeployment(basePort, routers);
     deployment.engines = engines;
     return deployment;
 }
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -10,11 +10,12 @@
 
 constexpr double detectionLimit = 8.0;
 
-Heartbeat routerOf(const std::string &id, std::uint16_t port, const std::string &place = "hall-a")
+Heartbeat routerOf(const std::string &id, std::uint16_t port,
+                   const std::string &dataCentre = "hall-a")
 {
     Heartbeat heartbeat;
     heartbeat.id = id;
-    heartbeat.dataCentre = place;
+    heartbeat.dataCentre = dataCentre;
     heartbeat.datagramEndpoint = {"127.0.0.1", port};
     heartbeat.incarnation = 1;
     return heartbeat;
@@ -26,15 +27,16 @@
     SwimFixture()
     {
         this->state.own = routerOf("own", 1);
-        this->hear(routerOf("peer", 2));
+        this->receive(routerOf("peer", 2));
     }
 
-    SwimOutput hear(const Heartbeat &from, std::vector<MemberUpdate> updates = {})
+    SwimOutput receive(const Heartbeat &sender, std::vector<MemberUpdate> updates = {})
     {
         SwimMessage message;
-        message.sender = from;
+        message.sender = sender;
         message.updates = std::move(updates);
-        return swimReceive(this->state, this->settings, message, from.datagramEndpoint, this->now);
+        return swimReceive(this->state, this->settings, message, sender.datagramEndpoint,
+                           this->now);
     }
 
     SwimSettings settings;
@@ -42,7 +44,7 @@
     TimePoint now{Seconds{1}};
 };
 
-MembersOptions smallRun()
+MembersOptions smallOptions()
 {
     MembersOptions options;
     options.routers = 24;
@@ -53,7 +55,7 @@
 }
 
 /// Checks the invariants of a membership run.
-bool isSound(const MembersReport &report)
+bool holdsInvariants(const MembersReport &report)
 {
     const bool inTime = std::all_of(report.fleetSeconds.begin(), report.fleetSeconds.end(),
                                     [](double seconds) { return seconds < detectionLimit; });
@@ -68,9 +70,9 @@
     // routers, so all must agree within seconds on who is gone, and a live router declared gone
     // would lose its coordinator role while it serves.
     const bool sound = rc::check("deaths are found, the living are not buried", [] {
-        MembersOptions options = smallRun();
+        MembersOptions options = smallOptions();
         options.seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
-        RC_ASSERT(isSound(runMembers(options)));
+        RC_ASSERT(holdsInvariants(runMembers(options)));
     });
     CHECK(sound);
 }
@@ -79,17 +81,17 @@
 {
     // The broken variant declares a member gone at its first unanswered probe; the check must
     // detect it.
-    MembersOptions options = smallRun();
+    MembersOptions options = smallOptions();
     options.settings.indirectProbes = 0;
     options.settings.suspicionTimeout = Duration{0};
-    CHECK_FALSE(isSound(runMembers(options)));
+    CHECK_FALSE(holdsInvariants(runMembers(options)));
 }
 
 TEST_CASE("members_placeCutOffAndBack_knowEachOtherAgain", "[members]")
 {
     // A data centre is cut off for 20 s; each side declares the other gone and goes on. After the
     // partition heals, neither side would contact a gone member; the pings to seeds do.
-    MembersOptions options = smallRun();
+    MembersOptions options = smallOptions();
     options.seconds = 120;
     options.cutSeconds = 20;
     const MembersReport report = runMembers(options);
@@ -100,7 +102,7 @@
 TEST_CASE_METHOD(SwimFixture, "swim_suspicionOfItself_isDeniedWithHigherRefutation", "[members]")
 {
     const SwimOutput output =
-        this->hear(routerOf("peer", 2), {{this->state.own, MemberState::Suspect}});
+        this->receive(routerOf("peer", 2), {{this->state.own, MemberState::Suspect}});
     CHECK(this->state.own.refutation == 1);
     CHECK_FALSE(output.sends.empty());
 }
@@ -108,10 +110,10 @@
 TEST_CASE_METHOD(SwimFixture, "swim_lateRumourOfGoneMember_doesNotBringItBack", "[members]")
 {
     const Heartbeat third = routerOf("third", 3);
-    this->hear(third);
-    const SwimOutput gone = this->hear(routerOf("peer", 2), {{third, MemberState::Gone}});
+    this->receive(third);
+    const SwimOutput gone = this->receive(routerOf("peer", 2), {{third, MemberState::Gone}});
     CHECK(gone.gone.size() == 1);
-    this->hear(routerOf("peer", 2), {{third, MemberState::Alive}});
+    this->receive(routerOf("peer", 2), {{third, MemberState::Alive}});
     CHECK(this->state.members.at("third").state == MemberState::Gone);
 }
 
@@ -121,7 +123,7 @@
     // at their coordinators although the id never vanished.
     Heartbeat restarted = routerOf("peer", 2);
     restarted.incarnation = 2;
-    const SwimOutput output = this->hear(restarted);
+    const SwimOutput output = this->receive(restarted);
     REQUIRE(output.gone.size() == 1);
     CHECK(output.gone.front().incarnation == 1);
     CHECK(output.joined.size() == 1);
@@ -132,7 +134,7 @@
     // This process is paused for half a minute with a pending probe and a suspected peer. After the
     // pause every timeout looks expired, although only this router was paused.
     static_cast<void>(swimTick(this->state, this->settings, {}, this->now));
-    this->hear(routerOf("other", 4), {{routerOf("peer", 2), MemberState::Suspect}});
+    this->receive(routerOf("other", 4), {{routerOf("peer", 2), MemberState::Suspect}});
     this->now += Seconds{30};
     const SwimOutput output = swimTick(this->state, this->settings, {}, this->now);
     CHECK(output.gone.empty());
@@ -156,41 +158,41 @@
     // The platform returns an empty list, then a truncated one. Dropping the missing VMs would
     // refuse every request at once.
     VmTable table;
-    VmPollState polls;
-    std::vector<Vm> whole;
-    whole.reserve(10);
+    VmPollState pollState;
+    std::vector<Vm> complete;
+    complete.reserve(10);
     for (int index = 0; index < 10; ++index) {
-        whole.push_back(
+        complete.push_back(
             {"vm-" + std::to_string(index), VmRole::Engine, "model", "hall-a", {}, false});
     }
-    table.applyPoll(polls, whole, 1);
-    table.applyPoll(polls, {}, 2);
+    table.applyPoll(pollState, complete, 1);
+    table.applyPoll(pollState, {}, 2);
     CHECK(table.vms().size() == 10);
-    table.applyPoll(polls, {whole.begin(), whole.begin() + 3}, 3);
+    table.applyPoll(pollState, {complete.begin(), complete.begin() + 3}, 3);
     CHECK(table.vms().size() == 10);
-    table.applyPoll(polls, {whole.begin(), whole.begin() + 9}, 4);
+    table.applyPoll(pollState, {complete.begin(), complete.begin() + 9}, 4);
     CHECK(table.vms().size() == 9);
 }
 
 TEST_CASE("vmList_linesInAnyOrder_endEqualEverywhere", "[members]")
 {
     const bool equal = rc::check("merging is order-free and idempotent", [] {
-        std::vector<VmRecord> lines;
-        const auto stamps = *rc::gen::container<std::vector<std::uint64_t>>(
+        std::vector<VmRecord> records;
+        const auto versions = *rc::gen::container<std::vector<std::uint64_t>>(
             rc::gen::inRange<std::uint64_t>(1, 1000));
-        for (std::size_t index = 0; index < stamps.size(); ++index) {
-            VmRecord line;
-            line.vm.id = "vm-" + std::to_string(stamps[index] % 5);
-            line.version = stamps[index];
-            line.gone = stamps[index] % 3 == 0;
-            lines.push_back(line);
+        for (std::size_t index = 0; index < versions.size(); ++index) {
+            VmRecord record;
+            record.vm.id = "vm-" + std::to_string(versions[index] % 5);
+            record.version = versions[index];
+            record.gone = versions[index] % 3 == 0;
+            records.push_back(record);
         }
         VmList first;
-        mergeRecords(first, lines);
-        std::reverse(lines.begin(), lines.end());
+        mergeRecords(first, records);
+        std::reverse(records.begin(), records.end());
         VmList second;
-        for (const VmRecord &line : lines) {
-            mergeRecords(second, {line, line});
+        for (const VmRecord &record : records) {
+            mergeRecords(second, {record, record});
         }
         RC_ASSERT(digestOf(first) == digestOf(second));
     });
--- a/tests/membersnapshot.cpp
+++ b/tests/membersnapshot.cpp
@@ -43,11 +43,11 @@
     return message;
 }
 
-using Shown = std::tuple<std::string, std::uint64_t, Endpoint>;
+using ListedMember = std::tuple<std::string, std::uint64_t, Endpoint>;
 
-std::vector<Shown> shownBy(const std::vector<Heartbeat> &members)
+std::vector<ListedMember> listedIn(const std::vector<Heartbeat> &members)
 {
-    std::vector<Shown> result;
+    std::vector<ListedMember> result;
     for (const Heartbeat &member : members) {
         if (!member.leaving) {
             result.emplace_back(member.id, member.incarnation, member.datagramEndpoint);
@@ -96,7 +96,7 @@
                 const SwimMessage message = anyMessage();
                 static_cast<void>(members.receive(message, message.sender.datagramEndpoint, now));
             }
-            RC_ASSERT(shownBy(*members.active()) == shownBy(members.all()));
+            RC_ASSERT(listedIn(*members.active()) == listedIn(members.all()));
         }
     });
     CHECK(sound);
@@ -104,7 +104,7 @@
 
 TEST_CASE_METHOD(SnapshotFixture, "snapshot_newerVersionsOnly_isShared", "[members]")
 {
-    const MemberSnapshot before = this->members.active();
+    const MemberSnapshot earlier = this->members.active();
     Heartbeat peer = routerOf("a");
     peer.catalogueVersion = 7;
     peer.catalogueAgeMilliseconds = 3;
@@ -112,17 +112,17 @@
     Heartbeat own = routerOf("own");
     own.catalogueVersion = 7;
     static_cast<void>(this->members.tick(own, {}, this->now));
-    CHECK(this->members.active() == before);
+    CHECK(this->members.active() == earlier);
     CHECK(this->members.find("a")->catalogueVersion == 7);
 }
 
 TEST_CASE_METHOD(SnapshotFixture, "snapshot_memberLeaves_keepsWhatReadersHold", "[members]")
 {
-    const MemberSnapshot before = this->members.active();
+    const MemberSnapshot earlier = this->members.active();
     Heartbeat peer = routerOf("a");
     peer.leaving = true;
     peer.refutation = 1;
     this->members.receiveHeartbeat(peer, this->now);
-    CHECK(before->size() == 3);
+    CHECK(earlier->size() == 3);
     CHECK(this->members.active()->size() == 2);
 }
--- a/tests/metrics.cpp
+++ b/tests/metrics.cpp
@@ -94,6 +94,6 @@
     CHECK(samples.at(bucket("w", "+Inf")) == 2);
     CHECK(samples.at("plantainswitch_series_beyond_bound") == beyond + 1);
     CHECK(samples.at(countOfClass) == maxWorkspacesOnPage + beyond + 2);
-    constexpr std::size_t mostBytes = 1'500'000;
-    CHECK(this->metrics.render(this->now).size() < mostBytes);
+    constexpr std::size_t maxBytes = 1'500'000;
+    CHECK(this->metrics.render(this->now).size() < maxBytes);
 }
--- a/tests/operatorapply.cpp
+++ b/tests/operatorapply.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::uint16_t ownPorts = 29'900;
+constexpr std::uint16_t basePort = 29'900;
 constexpr std::uint32_t routers = 3;
 constexpr std::uint32_t operators = 4;
 constexpr std::uint32_t editsOfOperator = 5;
@@ -26,15 +26,15 @@
 const EntryKey edited{EntryKind::DataClass, "regulated"};
 
 /// Captures what is written to standard output.
-class Printed
+class CapturedOutput
 {
 public:
-    Printed()
+    CapturedOutput()
         : before(std::cout.rdbuf(this->stream.rdbuf()))
     {}
-    ~Printed() { std::cout.rdbuf(this->before); }
-    Printed(const Printed &) = delete;
-    Printed &operator=(const Printed &) = delete;
+    ~CapturedOutput() { std::cout.rdbuf(this->before); }
+    CapturedOutput(const CapturedOutput &) = delete;
+    CapturedOutput &operator=(const CapturedOutput &) = delete;
 
     [[nodiscard]] nlohmann::json json() const
     {
@@ -73,7 +73,7 @@
         this->write(text);
     }
     int apply() { return applyFile(this->platform, this->path, OutputFormat::Json); }
-    [[nodiscard]] nlohmann::json there() { return toJson(*this->platform.get(edited).object); }
+    [[nodiscard]] nlohmann::json stored() { return toJson(*this->platform.get(edited).object); }
 
 private:
     void write(const nlohmann::json &text) const { std::ofstream(this->path) << text.dump(); }
@@ -86,7 +86,7 @@
 {
 protected:
     ApplyFixture()
-        : fleet(lowtherDeployment(ownPorts, routers))
+        : fleet(lowtherDeployment(basePort, routers))
     {
         REQUIRE(this->fleet.startAndConverge());
     }
@@ -108,21 +108,21 @@
     first.change(field, 60);
     second.change("places", {"hall-a"});
     REQUIRE(first.apply() == exitOk);
-    const nlohmann::json winner = first.there();
+    const nlohmann::json winner = first.stored();
     const nlohmann::json kept = second.file();
     {
-        const Printed printed;
+        const CapturedOutput output;
         CHECK(second.apply() == exitConflict);
-        const nlohmann::json told = printed.json();
-        CHECK(told.at("version") == winner.at("version"));
-        CHECK(told.at("difference").size() >= 2);
+        const nlohmann::json reported = output.json();
+        CHECK(reported.at("version") == winner.at("version"));
+        CHECK(reported.at("difference").size() >= 2);
     }
     CHECK(second.file() == kept);
-    CHECK(second.there() == winner);
+    CHECK(second.stored() == winner);
     second.read();
     second.change("places", {"hall-a"});
     REQUIRE(second.apply() == exitOk);
-    const nlohmann::json both = second.there();
+    const nlohmann::json both = second.stored();
     CHECK(both.at("body").at(field) == 60);
     CHECK(both.at("body").at("places") == nlohmann::json{"hall-a"});
     CHECK(this->fleet.eventuallyInForce(both.at("version")));
@@ -153,7 +153,7 @@
     }
     CHECK(unexpected == 0);
     Operator reader(this->fleet, 0);
-    const nlohmann::json last = reader.there();
+    const nlohmann::json last = reader.stored();
     CHECK(last.at("body").at(field) == operators * editsOfOperator);
     CHECK(this->fleet.eventuallyInForce(last.at("version")));
 }
@@ -179,9 +179,9 @@
         return exit != exitOk;
     }));
     CHECK(exit == exitOutcomeUnknown);
-    const nlohmann::json there = self.there();
-    CHECK(there.at("body").at(field) == 60);
+    const nlohmann::json stored = self.stored();
+    CHECK(stored.at("body").at(field) == 60);
     CHECK(self.apply() == exitConflict);
-    CHECK(self.there() == there);
-    CHECK(this->fleet.eventuallyInForce(there.at("version")));
+    CHECK(self.stored() == stored);
+    CHECK(this->fleet.eventuallyInForce(stored.at("version")));
 }
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -15,18 +15,18 @@
 
 namespace {
 
-constexpr std::uint16_t ownPorts = 29000;
+constexpr std::uint16_t basePort = 29000;
 
 class OperatorsFixture
 {
 protected:
     OperatorsFixture()
-        : fleet(lowtherDeployment(ownPorts, 1))
+        : fleet(lowtherDeployment(basePort, 1))
         , platform("http://" + toText(platformOf(this->fleet.deployment)))
     {}
 
     /// \returns what `plantainctl get` prints.
-    std::string printed(TokenVisibility tokens)
+    std::string getOutput(TokenVisibility tokens)
     {
         std::ostringstream text;
         std::streambuf *const before = std::cout.rdbuf(text.rdbuf());
@@ -111,15 +111,15 @@
 
 TEST_CASE_METHOD(OperatorsFixture, "get_workspace_hidesTokenUnlessAsked", "[operators]")
 {
-    CHECK(this->printed(TokenVisibility::Hidden).find("token-lowther-0") == std::string::npos);
-    CHECK(this->printed(TokenVisibility::Shown).find("token-lowther-0") != std::string::npos);
+    CHECK(this->getOutput(TokenVisibility::Hidden).find("token-lowther-0") == std::string::npos);
+    CHECK(this->getOutput(TokenVisibility::Shown).find("token-lowther-0") != std::string::npos);
 }
 
 TEST_CASE_METHOD(OperatorsFixture, "apply_hiddenMark_keepsTheStoredToken", "[operators]")
 {
     // Guards against storing the placeholder of a hidden token as the token when an operator
     // applies an edited file. That would lock out all callers of the workspace.
-    auto file = nlohmann::json::parse(this->printed(TokenVisibility::Hidden));
+    auto file = nlohmann::json::parse(this->getOutput(TokenVisibility::Hidden));
     file["body"]["weight"] = 7;
     REQUIRE(this->apply(file) == exitOk);
     const auto stored = this->platform.get(this->workspace).object;
@@ -130,8 +130,8 @@
 TEST_CASE_METHOD(OperatorsFixture, "apply_hiddenMarkAfterTokenChanged_losesTheRace", "[operators]")
 {
     // Guards against restoring an old token that was changed between an operator's get and apply.
-    const auto file = nlohmann::json::parse(this->printed(TokenVisibility::Hidden));
-    auto newer = nlohmann::json::parse(this->printed(TokenVisibility::Shown));
+    const auto file = nlohmann::json::parse(this->getOutput(TokenVisibility::Hidden));
+    auto newer = nlohmann::json::parse(this->getOutput(TokenVisibility::Shown));
     newer["body"]["token"] = "token-renewed";
     REQUIRE(this->apply(newer) == exitOk);
     CHECK(this->apply(file) == exitConflict);
@@ -140,7 +140,7 @@
 
 TEST_CASE_METHOD(OperatorsFixture, "apply_hiddenMarkOfNewWorkspace_isRefused", "[operators]")
 {
-    auto file = nlohmann::json::parse(this->printed(TokenVisibility::Hidden));
+    auto file = nlohmann::json::parse(this->getOutput(TokenVisibility::Hidden));
     file["name"] = "workspace-new";
     file["version"] = 0;
     CHECK(this->apply(file) == exitBadInput);
--- a/tests/orders.cpp
+++ b/tests/orders.cpp
@@ -40,48 +40,48 @@
     std::optional<std::uint64_t> round(LeaseStore &store, bool enginesCheck, TimePoint now,
                                        bool answerLost = false)
     {
-        observeLease(this->watch, store.object, this->self, now);
-        const LeaseDecision decision = decideLease(this->watch, this->self, this->settings, now);
+        observeLease(this->lease, store.object, this->self, now);
+        const LeaseDecision decision = decideLease(this->lease, this->self, this->settings, now);
         if (decision.action != LeaseAction::None) {
             const auto version = store.put(this->self, decision.ifVersion);
             if (version && !answerLost) {
-                recordLeaseWrite(this->watch, this->self, *version, this->settings, now);
+                recordLeaseWrite(this->lease, this->self, *version, this->settings, now);
             }
         }
-        return currentFencingToken(this->watch, enginesCheck, this->settings, now);
+        return currentFencingToken(this->lease, enginesCheck, this->settings, now);
     }
 
     std::string self;
     EngineSetup wanted;
     LeaseSettings settings;
-    LeaseState watch;
-    std::optional<std::uint64_t> inHand;
+    LeaseState lease;
+    std::optional<std::uint64_t> preparedOrder;
 };
 
 class OrderFixture
 {
 protected:
     /// Runs an orderer until it may send. \returns its fencing token.
-    std::uint64_t untilAllowed(Orderer &orderer)
+    std::uint64_t runUntilAllowed(Orderer &orderer)
     {
-        std::optional<std::uint64_t> fencing;
-        while (!(fencing =
-                     orderer.round(this->store, this->engine.checksFencing, this->clock.now()))) {
+        std::optional<std::uint64_t> token;
+        while (
+            !(token = orderer.round(this->store, this->engine.checksFencing, this->clock.now()))) {
             this->clock.advance(Seconds{1});
         }
-        return *fencing;
+        return *token;
     }
 
     /// The first orderer is paused with a prepared order; the second acquires the lease and sends
     /// its own.
     /// \returns the first one's token.
-    std::uint64_t takeOverDuringPause()
+    std::uint64_t takeOverWhilePaused()
     {
-        const std::uint64_t old = this->untilAllowed(this->first);
-        const std::uint64_t young = this->untilAllowed(this->second);
-        CHECK(young > old);
-        CHECK(this->engine.order(this->second.wanted, young));
-        return old;
+        const std::uint64_t oldToken = this->runUntilAllowed(this->first);
+        const std::uint64_t newToken = this->runUntilAllowed(this->second);
+        CHECK(newToken > oldToken);
+        CHECK(this->engine.order(this->second.wanted, newToken));
+        return oldToken;
     }
 
     ManualClock clock;
@@ -91,14 +91,14 @@
     Orderer second{"second", {"m", "2", "", ""}, {}, {}, {}};
 };
 
-std::vector<EngineStatus> readingsOf(std::size_t count, std::size_t loading)
+std::vector<EngineStatus> statusesOf(std::size_t count, std::size_t loading)
 {
-    std::vector<EngineStatus> readings(count);
+    std::vector<EngineStatus> statuses(count);
     for (std::size_t index = 0; index < count; ++index) {
-        readings[index].isReachable = true;
-        readings[index].isLoading = index < loading;
+        statuses[index].isReachable = true;
+        statuses[index].isLoading = index < loading;
     }
-    return readings;
+    return statuses;
 }
 
 /// Drives two orderers with pauses and lost responses at one engine.
@@ -118,17 +118,17 @@
     for (const std::uint32_t step : steps) {
         Orderer &orderer = orderers.at(step % 2);
         clock.advance(Milliseconds{step * 7});
-        if (orderer.inHand && step % 3 != 0) {
+        if (orderer.preparedOrder && step % 3 != 0) {
             // Resumed: it still acts on what it decided before the pause.
-            if (engine.order(orderer.wanted, *orderer.inHand)) {
-                const auto [known, fresh] = senders.emplace(*orderer.inHand, orderer.self);
-                if (!fresh && known->second != orderer.self) {
+            if (engine.order(orderer.wanted, *orderer.preparedOrder)) {
+                const auto [sender, isNew] = senders.emplace(*orderer.preparedOrder, orderer.self);
+                if (!isNew && sender->second != orderer.self) {
                     return false;
                 }
             }
-            orderer.inHand.reset();
-        } else if (!orderer.inHand) {
-            orderer.inHand = orderer.round(store, true, clock.now(), step % 11 == 0);
+            orderer.preparedOrder.reset();
+        } else if (!orderer.preparedOrder) {
+            orderer.preparedOrder = orderer.round(store, true, clock.now(), step % 11 == 0);
         }
     }
     return std::is_sorted(engine.carriedOut.begin(), engine.carriedOut.end());
@@ -141,8 +141,8 @@
     // An orderer decides, is paused until after its lease expires, and resumes with its old view.
     // Meanwhile another router acquired the lease and sent a newer order. The engine sees an old
     // token and refuses.
-    const std::uint64_t old = this->takeOverDuringPause();
-    CHECK_FALSE(this->engine.order(this->first.wanted, old));
+    const std::uint64_t oldToken = this->takeOverWhilePaused();
+    CHECK_FALSE(this->engine.order(this->first.wanted, oldToken));
     CHECK(this->engine.current.version == "2");
 }
 
@@ -153,26 +153,26 @@
     // maximum. The old order is executed, which nothing can prevent. The holder reads the engine
     // back, finds the old state and orders again. Only the final state is right.
     this->engine.checksFencing = false;
-    const std::uint64_t old = this->takeOverDuringPause();
-    CHECK(this->engine.order(this->first.wanted, old));
+    const std::uint64_t oldToken = this->takeOverWhilePaused();
+    CHECK(this->engine.order(this->first.wanted, oldToken));
     CHECK(this->engine.current.version == "1");
     CHECK_FALSE(
-        currentFencingToken(this->first.watch, false, this->first.settings, this->clock.now()));
-    EngineStatus reading;
-    reading.isReachable = true;
-    reading.setup = this->engine.current;
-    REQUIRE(planOrders({reading}, {this->second.wanted}).size() == 1);
-    CHECK(this->engine.order(this->second.wanted, this->untilAllowed(this->second)));
+        currentFencingToken(this->first.lease, false, this->first.settings, this->clock.now()));
+    EngineStatus status;
+    status.isReachable = true;
+    status.setup = this->engine.current;
+    REQUIRE(planOrders({status}, {this->second.wanted}).size() == 1);
+    CHECK(this->engine.order(this->second.wanted, this->runUntilAllowed(this->second)));
     CHECK(this->engine.current.version == "2");
 }
 
 TEST_CASE_METHOD(OrderFixture, "orders_newHolderAtIgnoringEngines_waitsTheStatedPause", "[orders]")
 {
     this->first.round(this->store, false, this->clock.now());
-    const TimePoint taken = this->clock.now();
+    const TimePoint acquired = this->clock.now();
     this->engine.checksFencing = false;
-    this->untilAllowed(this->first);
-    CHECK(this->clock.now() - taken >= this->first.settings.maxProcessPause);
+    this->runUntilAllowed(this->first);
+    CHECK(this->clock.now() - acquired >= this->first.settings.maxProcessPause);
 }
 
 TEST_CASE("orders_staggered_neverBelowReadyShareNorAboveLoads", "[orders]")
@@ -184,10 +184,10 @@
         wanted.setup.version = "2";
         wanted.maxConcurrentLoads = *rc::gen::inRange<std::uint32_t>(1, 8);
         wanted.minReadyPercent = *rc::gen::inRange<std::uint32_t>(0, 100);
-        const auto chosen = planOrders(readingsOf(count, loading), wanted).size();
-        const std::size_t least = count * wanted.minReadyPercent / 100;
+        const auto chosen = planOrders(statusesOf(count, loading), wanted).size();
+        const std::size_t minReady = count * wanted.minReadyPercent / 100;
         RC_ASSERT(chosen == 0 || chosen + loading <= wanted.maxConcurrentLoads);
-        RC_ASSERT(chosen == 0 || count - loading - chosen >= least);
+        RC_ASSERT(chosen == 0 || count - loading - chosen >= minReady);
         RC_ASSERT(loading > 0 || chosen > 0);
     }));
 }
--- a/tests/promptload.cpp
+++ b/tests/promptload.cpp
@@ -13,7 +13,7 @@
 class PromptLoadFixture
 {
 protected:
-    PromptLoadResult play(std::uint64_t seed)
+    PromptLoadResult run(std::uint64_t seed)
     {
         this->load.seed = seed;
         return playPromptLoad(this->load, SelectionPolicy{});
@@ -21,10 +21,10 @@
 
     /// Runs all seeds. At most 2% of the tokens may be prefilled again, and no engine may exceed
     /// its load bound.
-    void checkReadOnce()
+    void checkPrefilledOnce()
     {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            const PromptLoadResult result = this->play(seed);
+            const PromptLoadResult result = this->run(seed);
             CHECK(result.readAgainTokens < 0.02 * result.readTokens);
             CHECK(result.highestAboveBound < 0.0);
         }
@@ -42,7 +42,7 @@
     // that overflow a full engine go to the next engine of their preference list, which copies the
     // cache. Guards against choosing the overflow engine by load alone: the same prefixes were then
     // cached on so many engines that 600,000 tokens were evicted and prefilled again.
-    this->checkReadOnce();
+    this->checkPrefilledOnce();
 }
 
 TEST_CASE_METHOD(PromptLoadFixture, "promptLoad_oneHistoryOfAThird_isCopiedNotReadAgain",
@@ -50,7 +50,7 @@
 {
     // A third of all requests share one history, more than one engine's load bound allows.
     this->load.hotShare = 0.3;
-    this->checkReadOnce();
+    this->checkPrefilledOnce();
 }
 
 TEST_CASE_METHOD(PromptLoadFixture, "promptLoad_enginesReplaced_onlyTheirOwnIsReadAgain",
@@ -60,7 +60,7 @@
     // cached may be prefilled again, some 90,000 tokens each; the rest has to be copied.
     this->load.replaced = 9;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const PromptLoadResult result = this->play(seed);
+        const PromptLoadResult result = this->run(seed);
         CHECK(result.readAgainTokens < 9 * 90'000.0);
         CHECK(result.copiedTokens > result.readAgainTokens);
     }
@@ -68,8 +68,8 @@
 
 TEST_CASE_METHOD(PromptLoadFixture, "promptLoad_sameSeed_givesTheSame", "[routing]")
 {
-    const PromptLoadResult first = this->play(7);
-    const PromptLoadResult second = this->play(7);
+    const PromptLoadResult first = this->run(7);
+    const PromptLoadResult second = this->run(7);
     CHECK(first.readTokens == second.readTokens);
     CHECK(first.p99FirstToken == second.p99FirstToken);
 }
