--- a/tests/slotsync.cpp
+++ b/tests/slotsync.cpp
@@ -11,27 +11,27 @@
 
 const Shard theShard{"model", "hall-a", 0};
 constexpr std::size_t routerCount = 3;
-constexpr std::size_t keeperCount = 2;
+constexpr std::size_t coordinatorCount = 2;
 
 /// Deliberate omissions, to show that the checkers detect them.
-enum class Broken : std::uint8_t { Nothing, NoDigest, NoBound, NoLists };
+enum class Omission : std::uint8_t { Nothing, NoDigest, NoBound, NoLists };
 
 /// Routers and two rival coordinators over lossy datagrams; the routers' own tables hold what
 /// really runs.
 class History
 {
 public:
-    explicit History(Broken broken)
-        : broken(broken)
+    explicit History(Omission omission)
+        : omission(omission)
     {
-        this->view.readyEngines = {11, 22, 33, 44};
-        if (broken == Broken::NoBound) {
-            this->view.settings.loadFactor = 100;
-            this->view.settings.affinityLoadFactor = 100;
+        this->context.readyEngines = {11, 22, 33, 44};
+        if (omission == Omission::NoBound) {
+            this->context.settings.loadFactor = 100;
+            this->context.settings.affinityLoadFactor = 100;
         }
     }
 
-    void play(std::uint32_t step)
+    void execute(std::uint32_t step)
     {
         const std::size_t router = step % routerCount;
         const bool lost = step % 5 == 0;
@@ -39,81 +39,83 @@
         case 0:
         case 1:
         case 2:
-            this->ask(router, (step / 512) % 3, lost);
+            this->request(router, (step / 512) % 3, lost);
             break;
         case 3:
         case 4:
             this->finish(router, lost);
             break;
         case 5:
-            this->digests();
+            this->sendDigests();
             break;
         case 6:
-            this->keeperOfRouter.at(router) = (step / 512) % keeperCount;
+            this->coordinatorOfRouter.at(router) = (step / 512) % coordinatorCount;
             break;
         default:
-            this->loseRouter(router);
+            this->removeRouter(router);
         }
         this->now += Milliseconds{100};
     }
 
     /// All routers agree on one coordinator and report what they hold, without loss.
-    void settle()
+    void synchronize()
     {
-        this->keeperOfRouter.fill(0);
-        this->digests();
+        this->coordinatorOfRouter.fill(0);
+        this->sendDigests();
     }
 
     /// \returns whether the first coordinator counts exactly what runs.
-    [[nodiscard]] bool keeperIsExact() const
+    [[nodiscard]] bool isCoordinatorExact() const
     {
         std::map<UpstreamId, std::uint32_t> running;
         for (const auto &held : this->held) {
-            for (const auto &[askId, upstream] : held) {
+            for (const auto &[requestId, upstream] : held) {
                 ++running[upstream];
             }
         }
-        return this->keepers.front().loads(shardIdOf(theShard)) == running;
+        return this->coordinators.front().loads(shardIdOf(theShard)) == running;
     }
 
     bool boundHeld = true;
 
 private:
-    void ask(std::size_t router, std::uint64_t chat, bool lost)
+    void request(std::size_t router, std::uint64_t chat, bool lost)
     {
-        const std::size_t keeper = this->keeperOfRouter.at(router);
-        const std::uint32_t askId = this->nextAsk++;
-        const SlotReply reply = this->keepers.at(keeper).grant(
-            router, {askId, theShard, chat, chat, {}}, this->view, keeper == 0, this->now);
+        const std::size_t coordinator = this->coordinatorOfRouter.at(router);
+        const std::uint32_t requestId = this->nextRequestId++;
+        const SlotReply reply = this->coordinators.at(coordinator)
+                                    .grant(router, {requestId, theShard, chat, chat, {}},
+                                           this->context, coordinator == 0, this->now);
         if (lost || reply.verdict != SlotVerdict::Granted) {
             // The reply is lost, the requester gives up, and its release is lost too.
             return;
         }
-        this->held.at(router)[askId] = reply.upstream;
-        this->check(reply.upstream);
+        this->held.at(router)[requestId] = reply.upstream;
+        this->checkBound(reply.upstream);
     }
 
     /// The sum of two coordinators' grants exceeds the bound of the sum of their peaks by at most
     /// one.
-    void check(UpstreamId upstream)
+    void checkBound(UpstreamId upstream)
     {
         std::uint64_t peaks = 1;
-        for (std::size_t keeper = 0; keeper < keeperCount; ++keeper) {
+        for (std::size_t coordinator = 0; coordinator < coordinatorCount; ++coordinator) {
             std::uint64_t total = 0;
-            for (const auto &[id, load] : this->keepers.at(keeper).loads(shardIdOf(theShard))) {
+            for (const auto &[id, load] :
+                 this->coordinators.at(coordinator).loads(shardIdOf(theShard))) {
                 total += load;
             }
-            this->peak.at(keeper) = std::max(this->peak.at(keeper), total);
-            peaks += this->peak.at(keeper);
+            this->peak.at(coordinator) = std::max(this->peak.at(coordinator), total);
+            peaks += this->peak.at(coordinator);
         }
         std::uint32_t running = 0;
         for (const auto &held : this->held) {
-            for (const auto &[askId, at] : held) {
-                running += at == upstream ? 1 : 0;
+            for (const auto &[requestId, engine] : held) {
+                running += engine == upstream ? 1 : 0;
             }
         }
         const std::uint32_t allowed =
-            loadBound(LoadBoundSettings{}, peaks, this->view.readyEngines.size()) + 1;
+            loadBound(LoadBoundSettings{}, peaks, this->context.readyEngines.size()) + 1;
         this->boundHeld = this->boundHeld && running <= allowed;
     }
 
@@ -123,67 +125,70 @@
         if (held.empty()) {
             return;
         }
-        const std::uint32_t askId = held.begin()->first;
+        const std::uint32_t requestId = held.begin()->first;
         held.erase(held.begin());
-        for (ShardCoordinator &keeper : this->keepers) {
+        for (ShardCoordinator &coordinator : this->coordinators) {
             if (!lost) {
-                keeper.release(router, {shardIdOf(theShard), {askId}});
+                coordinator.release(router, {shardIdOf(theShard), {requestId}});
             }
         }
     }
 
-    void digests()
+    void sendDigests()
     {
-        if (this->broken == Broken::NoDigest) {
+        if (this->omission == Omission::NoDigest) {
             return;
         }
         for (std::size_t router = 0; router < routerCount; ++router) {
-            ShardCoordinator &keeper = this->keepers.at(this->keeperOfRouter.at(router));
-            const auto digest = digestOf(shardIdOf(theShard), this->held.at(router), this->nextAsk);
-            if (!keeper.checkDigest(router, digest, this->now) || this->broken == Broken::NoLists) {
+            ShardCoordinator &coordinator =
+                this->coordinators.at(this->coordinatorOfRouter.at(router));
+            const auto digest =
+                digestOf(shardIdOf(theShard), this->held.at(router), this->nextRequestId);
+            if (!coordinator.checkDigest(router, digest, this->now)
+                || this->omission == Omission::NoLists) {
                 continue;
             }
             for (const SlotList &list :
-                 splitIntoLists(theShard, router, this->held.at(router), this->nextAsk)) {
-                keeper.receiveList(router, list, this->now);
+                 splitIntoLists(theShard, router, this->held.at(router), this->nextRequestId)) {
+                coordinator.receiveList(router, list, this->now);
             }
         }
     }
 
-    void loseRouter(std::size_t router)
+    void removeRouter(std::size_t router)
     {
         this->held.at(router).clear();
-        for (ShardCoordinator &keeper : this->keepers) {
-            keeper.releaseRouter(router);
+        for (ShardCoordinator &coordinator : this->coordinators) {
+            coordinator.releaseRouter(router);
         }
     }
 
-    Broken broken;
-    GrantContext view;
+    Omission omission;
+    GrantContext context;
     TimePoint now{Seconds{1}};
-    std::uint32_t nextAsk = 1;
-    std::array<ShardCoordinator, keeperCount> keepers;
-    std::array<std::size_t, routerCount> keeperOfRouter{};
+    std::uint32_t nextRequestId = 1;
+    std::array<ShardCoordinator, coordinatorCount> coordinators;
+    std::array<std::size_t, routerCount> coordinatorOfRouter{};
     std::array<std::map<std::uint32_t, UpstreamId>, routerCount> held;
-    std::array<std::uint64_t, keeperCount> peak{};
+    std::array<std::uint64_t, coordinatorCount> peak{};
 };
 
-struct Verdicts
+struct Invariants
 {
     bool bound = true;
     bool exact = true;
 };
 
 /// Runs one generated history. \returns which invariants held.
-Verdicts playHistory(Broken broken)
+Invariants runHistory(Omission omission)
 {
-    History history(broken);
+    History history(omission);
     for (const std::uint32_t step : *rc::gen::container<std::vector<std::uint32_t>>(
              200, rc::gen::inRange<std::uint32_t>(0, 1U << 16U))) {
-        history.play(step);
+        history.execute(step);
     }
-    history.settle();
-    return {history.boundHeld, history.keeperIsExact()};
+    history.synchronize();
+    return {history.boundHeld, history.isCoordinatorExact()};
 }
 
 } // namespace
@@ -193,32 +198,32 @@
     // A request ends and its release is lost. Without reconciliation the slot would leak and the
     // engine get less and less work. The router's next digest differs, and the coordinator requests
     // the list and releases what isn't in it.
-    ShardCoordinator keeper;
+    ShardCoordinator coordinator;
     const TimePoint now{Seconds{1}};
-    const GrantContext view{{11, 22}, {}, false};
+    const GrantContext context{{11, 22}, {}, false};
     const ShardId id = shardIdOf(theShard);
-    keeper.grant(1, {1, theShard, 5, 5, {}}, view, true, now);
-    const SlotReply second = keeper.grant(1, {2, theShard, 6, 6, {}}, view, true, now);
+    coordinator.grant(1, {1, theShard, 5, 5, {}}, context, true, now);
+    const SlotReply second = coordinator.grant(1, {2, theShard, 6, 6, {}}, context, true, now);
     const std::map<std::uint32_t, UpstreamId> held{{2, second.upstream}};
-    CHECK(keeper.loads(id).size() == 2);
-    REQUIRE(keeper.checkDigest(1, digestOf(id, held, 3), now));
-    keeper.receiveList(1, splitIntoLists(theShard, 1, held, 3).front(), now);
-    CHECK(keeper.loads(id) == std::map<UpstreamId, std::uint32_t>{{second.upstream, 1}});
-    CHECK_FALSE(keeper.checkDigest(1, digestOf(id, held, 3), now));
+    CHECK(coordinator.loads(id).size() == 2);
+    REQUIRE(coordinator.checkDigest(1, digestOf(id, held, 3), now));
+    coordinator.receiveList(1, splitIntoLists(theShard, 1, held, 3).front(), now);
+    CHECK(coordinator.loads(id) == std::map<UpstreamId, std::uint32_t>{{second.upstream, 1}});
+    CHECK_FALSE(coordinator.checkDigest(1, digestOf(id, held, 3), now));
 }
 
 TEST_CASE("slotSync_askUnderWay_isNotTakenBack", "[slotsync]")
 {
     // The coordinator has granted request 2, its reply is still in transit, and the router's digest
     // arrives in between. The digest only counts requests below the oldest one in transit.
-    ShardCoordinator keeper;
+    ShardCoordinator coordinator;
     const TimePoint now{Seconds{1}};
-    const GrantContext view{{11, 22}, {}, false};
-    keeper.grant(1, {2, theShard, 6, 6, {}}, view, true, now);
+    const GrantContext context{{11, 22}, {}, false};
+    coordinator.grant(1, {2, theShard, 6, 6, {}}, context, true, now);
     const ShardId id = shardIdOf(theShard);
-    CHECK_FALSE(keeper.checkDigest(1, digestOf(id, {}, 2), now));
-    keeper.receiveList(1, splitIntoLists(theShard, 1, {}, 2).front(), now);
-    CHECK(keeper.loads(id).size() == 1);
+    CHECK_FALSE(coordinator.checkDigest(1, digestOf(id, {}, 2), now));
+    coordinator.receiveList(1, splitIntoLists(theShard, 1, {}, 2).front(), now);
+    CHECK(coordinator.loads(id).size() == 1);
 }
 
 TEST_CASE("slotSync_handedOverList_keepsWhatTheNextKeeperGranted", "[slotsync]")
@@ -228,13 +233,13 @@
     ShardCoordinator old;
     ShardCoordinator next;
     const TimePoint now{Seconds{1}};
-    const GrantContext view{{11, 22}, {}, false};
-    old.grant(1, {2, theShard, 6, 6, {}}, view, true, now);
-    old.grant(1, {4, theShard, 7, 7, {}}, view, true, now);
-    next.grant(1, {3, theShard, 8, 8, {}}, view, true, now);
-    constexpr std::uint64_t oldKeeper = 99;
+    const GrantContext context{{11, 22}, {}, false};
+    old.grant(1, {2, theShard, 6, 6, {}}, context, true, now);
+    old.grant(1, {4, theShard, 7, 7, {}}, context, true, now);
+    next.grant(1, {3, theShard, 8, 8, {}}, context, true, now);
+    constexpr std::uint64_t oldCoordinator = 99;
     for (const SlotList &list : old.slotLists()) {
-        next.receiveList(oldKeeper, list, now);
+        next.receiveList(oldCoordinator, list, now);
     }
     std::uint32_t total = 0;
     for (const auto &[engine, load] : next.loads(shardIdOf(theShard))) {
@@ -263,19 +268,19 @@
     // never load an engine above the bound of their sum plus one, and one digest later the
     // coordinator is exact.
     CHECK(rc::check("bound and exactness", [] {
-        const Verdicts verdicts = playHistory(Broken::Nothing);
-        RC_ASSERT(verdicts.bound);
-        RC_ASSERT(verdicts.exact);
+        const Invariants invariants = runHistory(Omission::Nothing);
+        RC_ASSERT(invariants.bound);
+        RC_ASSERT(invariants.exact);
     }));
 }
 
 TEST_CASE("slotSync_brokenVariants_areCaught", "[slotsync]")
 {
-    for (const Broken broken : {Broken::NoDigest, Broken::NoBound, Broken::NoLists}) {
+    for (const Omission omission : {Omission::NoDigest, Omission::NoBound, Omission::NoLists}) {
         bool caught = false;
-        rc::check("a broken variant", [&caught, broken] {
-            const Verdicts verdicts = playHistory(broken);
-            caught = caught || !verdicts.bound || !verdicts.exact;
+        rc::check("a broken variant", [&caught, omission] {
+            const Invariants invariants = runHistory(omission);
+            caught = caught || !invariants.bound || !invariants.exact;
         });
         CHECK(caught);
     }
@@ -284,39 +289,40 @@
 namespace {
 
 /// Plans placement for a generated fleet and catalogue; \a broken plans ignore permissions.
-bool planStaysInside(bool broken)
+bool planStaysInside(bool omission)
 {
-    const std::vector<std::string> places{"a", "b", "c", "d"};
-    const auto subset = [&places] {
+    const std::vector<std::string> dataCentres{"a", "b", "c", "d"};
+    const auto subset = [&dataCentres] {
         std::vector<std::string> result;
         const auto bits = *rc::gen::inRange<std::uint32_t>(0, 16);
-        for (std::size_t index = 0; index < places.size(); ++index) {
+        for (std::size_t index = 0; index < dataCentres.size(); ++index) {
             if ((bits >> index & 1U) != 0) {
-                result.push_back(places[index]);
+                result.push_back(dataCentres[index]);
             }
         }
         return result;
     };
     UpstreamTable upstreams;
     std::vector<Vm> vms;
-    for (const std::string &place : subset()) {
-        vms.push_back({"engine-" + place, VmRole::Engine, "model", place, {"127.0.0.1", 1}, false});
+    for (const std::string &dataCentre : subset()) {
+        vms.push_back(
+            {"engine-" + dataCentre, VmRole::Engine, "model", dataCentre, {"127.0.0.1", 1}, false});
     }
     upstreams.replace(vms);
     std::vector<Heartbeat> active;
-    for (const std::string &place : subset()) {
-        active.push_back({"router-" + place, place, {}, {}, 1, 1, false});
+    for (const std::string &dataCentre : subset()) {
+        active.push_back({"router-" + dataCentre, dataCentre, {}, {}, 1, 1, false});
     }
-    Authorization admission;
-    admission.service = "model";
-    admission.dataCentres = subset();
-    const std::set<std::string> permitted(admission.dataCentres.begin(),
-                                          admission.dataCentres.end());
-    if (broken) {
-        admission.dataCentres = places;
+    Authorization authorization;
+    authorization.service = "model";
+    authorization.dataCentres = subset();
+    const std::set<std::string> permitted(authorization.dataCentres.begin(),
+                                          authorization.dataCentres.end());
+    if (omission) {
+        authorization.dataCentres = dataCentres;
     }
     Reason reason;
-    auto plan = planPlacement(admission, 7, upstreams, TimePoint{Seconds{1}}, reason);
+    auto plan = planPlacement(authorization, 7, upstreams, TimePoint{Seconds{1}}, reason);
     if (!plan) {
         return true;
     }
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -7,17 +7,17 @@
 namespace {
 
 /// Upper bound of a caller's random pause between two calls.
-constexpr std::int64_t longestPauseMilliseconds = 120;
+constexpr std::int64_t maxPauseMilliseconds = 120;
 /// Time budget that a caller sends with its call; it waits an eighth longer for the response.
-constexpr Milliseconds budget{4000};
+constexpr Milliseconds timeBudget{4000};
 /// One in this many calls is abandoned early, goes to an added route, or uses a key that may have
 /// been revoked.
-constexpr std::uint64_t leavesOneOf = 25;
-constexpr std::uint64_t newRouteOneOf = 6;
-constexpr std::uint64_t otherKeyOneOf = 6;
+constexpr std::uint64_t abandonedOneIn = 25;
+constexpr std::uint64_t addedRouteOneIn = 6;
+constexpr std::uint64_t revocableKeyOneIn = 6;
 /// One in this many calls is made on a new connection.
-constexpr std::uint64_t newConnectionOneOf = 5;
-constexpr Milliseconds connectLimit{1000};
+constexpr std::uint64_t newConnectionOneIn = 5;
+constexpr Milliseconds connectTimeout{1000};
 
 std::string pathOf(const CallRecord &record)
 {
@@ -48,20 +48,20 @@
     CallRecord record;
     bool isBusy = false;
     /// Calls that a poison caller still has to make.
-    std::size_t left = 0;
+    std::size_t remainingCalls = 0;
     /// Number of calls started; lets a timer of an earlier call detect that it is outdated.
-    std::uint64_t calls = 0;
+    std::uint64_t callCount = 0;
 };
 
 SoakCallers::SoakCallers(asio::io_context &context, const Clock &clock,
                          const CallerEnvironment &world, std::uint64_t seed, SoakHistory &history,
-                         TimePoint begin)
+                         TimePoint startTime)
     : context(context)
     , clock(clock)
     , environment(world)
     , random(seed)
     , history(history)
-    , startTime(begin)
+    , startTime(startTime)
 {}
 
 SoakTime SoakCallers::now() const
@@ -82,7 +82,7 @@
         return;
     }
     caller->timer.expires_after(
-        Milliseconds{static_cast<std::int64_t>(this->random() % longestPauseMilliseconds)});
+        Milliseconds{static_cast<std::int64_t>(this->random() % maxPauseMilliseconds)});
     caller->timer.async_wait([this, caller](const asio::error_code &error) {
         if (!error && !this->isStopped) {
             this->startCall(caller);
@@ -92,26 +92,26 @@
 
 CallRecord SoakCallers::makeCall(const std::shared_ptr<Caller> &caller)
 {
-    const bool keeps = caller->connection && caller->connection->isReusable()
-                       && this->random() % newConnectionOneOf != 0
-                       && this->environment.routers[caller->record.router].incarnation
-                              == caller->record.incarnation;
+    const bool keepsConnection = caller->connection && caller->connection->isReusable()
+                                 && this->random() % newConnectionOneIn != 0
+                                 && this->environment.routers[caller->record.router].incarnation
+                                        == caller->record.incarnation;
     CallRecord record;
     record.attemptId = fmt::format("a{}", ++this->lastAttempt);
     record.kind = static_cast<CallKind>(this->random() % 3);
     record.router =
-        keeps ? caller->record.router : this->random() % this->environment.routers.size();
+        keepsConnection ? caller->record.router : this->random() % this->environment.routers.size();
     record.incarnation = this->environment.routers[record.router].incarnation;
     record.sentAt = this->now();
-    if (!this->environment.routeVersions.empty() && this->random() % newRouteOneOf == 0) {
+    if (!this->environment.routeVersions.empty() && this->random() % addedRouteOneIn == 0) {
         record.kind = CallKind::Idempotent;
-        const std::size_t which = this->random() % this->environment.routeVersions.size();
-        record.routeVersion = this->environment.routeVersions[which];
+        const std::size_t index = this->random() % this->environment.routeVersions.size();
+        record.routeVersion = this->environment.routeVersions[index];
     }
-    const bool usesOther = this->random() % otherKeyOneOf == 0;
-    record.key =
-        this->environment.keys[usesOther ? this->random() % this->environment.keys.size() : 0];
-    if (!keeps && caller->connection) {
+    const bool usesRevocableKey = this->random() % revocableKeyOneIn == 0;
+    record.key = this->environment
+                     .keys[usesRevocableKey ? this->random() % this->environment.keys.size() : 0];
+    if (!keepsConnection && caller->connection) {
         caller->connection->abort();
         caller->connection.reset();
     }
@@ -124,24 +124,24 @@
     return fmt::format("POST {} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: {}\r\n"
                        "X-Time-Budget: {}\r\nAuthorization: Bearer {}\r\n"
                        "Content-Length: {}\r\n\r\n{}",
-                       pathOf(record), record.attemptId, budget.count(), record.key, body.size(),
-                       body);
+                       pathOf(record), record.attemptId, timeBudget.count(), record.key,
+                       body.size(), body);
 }
 
-void SoakCallers::startPoisonCaller(const std::string &poison, std::size_t times)
+void SoakCallers::startPoisonCaller(const std::string &poisonId, std::size_t times)
 {
     const auto caller = std::make_shared<Caller>(this->context);
-    caller->record.poisonId = poison;
-    caller->left = times;
+    caller->record.poisonId = poisonId;
+    caller->remainingCalls = times;
     this->scheduleCall(caller);
 }
 
 void SoakCallers::startCall(const std::shared_ptr<Caller> &caller)
 {
-    const std::string poison = caller->record.poisonId;
+    const std::string poisonId = caller->record.poisonId;
     caller->record = this->makeCall(caller);
-    if (!poison.empty()) {
-        caller->record.poisonId = poison;
+    if (!poisonId.empty()) {
+        caller->record.poisonId = poisonId;
         caller->record.kind = CallKind::Idempotent;
         caller->record.routeVersion = 0;
         caller->record.key = this->environment.keys.front();
@@ -152,7 +152,7 @@
 void SoakCallers::send(const std::shared_ptr<Caller> &caller)
 {
     caller->isBusy = true;
-    caller->calls += 1;
+    caller->callCount += 1;
     this->activeCalls += 1;
     const std::string bytes = serialize(caller->record);
     gateway::ResponseHandlers events{
@@ -167,35 +167,37 @@
                                      ? CallOutcome::NotConnected
                                      : CallOutcome::Truncated);
         }};
-    const bool leavesEarly = caller->record.poisonId.empty() && this->random() % leavesOneOf == 0;
-    const Milliseconds stays = leavesEarly ? budget / 100 : budget + budget / 8;
-    caller->timer.expires_after(stays);
-    caller->timer.async_wait([this, caller, number = caller->calls](const asio::error_code &error) {
-        if (!error && caller->isBusy && number == caller->calls) {
-            caller->connection->abort();
-            this->finish(caller, CallOutcome::Abandoned);
-        }
-    });
+    const bool abandonsEarly =
+        caller->record.poisonId.empty() && this->random() % abandonedOneIn == 0;
+    const Milliseconds timeout = abandonsEarly ? timeBudget / 100 : timeBudget + timeBudget / 8;
+    caller->timer.expires_after(timeout);
+    caller->timer.async_wait(
+        [this, caller, number = caller->callCount](const asio::error_code &error) {
+            if (!error && caller->isBusy && number == caller->callCount) {
+                caller->connection->abort();
+                this->finish(caller, CallOutcome::Abandoned);
+            }
+        });
     if (caller->connection) {
         caller->connection->send(bytes, std::move(events));
         return;
     }
     caller->connection = std::make_shared<gateway::UpstreamConnection>(this->context, this->clock);
     caller->connection->connectAndSend(this->environment.routers[caller->record.router].endpoint,
-                                       connectLimit, bytes, std::move(events));
+                                       connectTimeout, bytes, std::move(events));
 }
 
-void SoakCallers::finish(const std::shared_ptr<Caller> &caller, CallOutcome end)
+void SoakCallers::finish(const std::shared_ptr<Caller> &caller, CallOutcome outcome)
 {
     if (!caller->isBusy) {
         return;
     }
     caller->isBusy = false;
-    caller->record.outcome = end;
+    caller->record.outcome = outcome;
     caller->record.endedAt = this->now();
     this->history.calls.push_back(caller->record);
     this->activeCalls -= 1;
-    if (caller->record.poisonId.empty() || --caller->left > 0) {
+    if (caller->record.poisonId.empty() || --caller->remainingCalls > 0) {
         this->scheduleCall(caller);
     }
 }
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -39,12 +39,12 @@
 {
 public:
     SoakCallers(asio::io_context &context, const Clock &clock, const CallerEnvironment &world,
-                std::uint64_t seed, SoakHistory &history, TimePoint begin);
+                std::uint64_t seed, SoakHistory &history, TimePoint startTime);
 
     void start(std::size_t count);
     /// Starts a caller that sends one request, which crashes every upstream that runs it, \a times
     /// in succession.
-    void startPoisonCaller(const std::string &poison, std::size_t times);
+    void startPoisonCaller(const std::string &poisonId, std::size_t times);
     /// Starts no further calls; those under way continue.
     void stop() { this->isStopped = true; }
     [[nodiscard]] bool isIdle() const noexcept { return this->activeCalls == 0; }
@@ -55,7 +55,7 @@
     void scheduleCall(const std::shared_ptr<Caller> &caller);
     void startCall(const std::shared_ptr<Caller> &caller);
     void send(const std::shared_ptr<Caller> &caller);
-    void finish(const std::shared_ptr<Caller> &caller, CallOutcome end);
+    void finish(const std::shared_ptr<Caller> &caller, CallOutcome outcome);
     [[nodiscard]] CallRecord makeCall(const std::shared_ptr<Caller> &caller);
     [[nodiscard]] static std::string serialize(const CallRecord &record);
     [[nodiscard]] SoakTime now() const;
--- a/tests/soak/documents.cpp
+++ b/tests/soak/documents.cpp
@@ -24,8 +24,8 @@
 {
     nlohmann::json routes{route("safe", "idempotent"), route("once", "non_idempotent"),
                           route("stream", "streaming")};
-    for (const std::uint64_t added : config.routeVersions) {
-        routes.push_back(route(fmt::format("v{}", added), "idempotent"));
+    for (const std::uint64_t version : config.routeVersions) {
+        routes.push_back(route(fmt::format("v{}", version), "idempotent"));
     }
     const nlohmann::json limits{{"maxHeaderBytes", 16384},
                                 {"maxBodyBytes", 100000},
@@ -39,11 +39,11 @@
         .dump();
 }
 
-std::string upstreamEntry(const Endpoint &endpoint, const std::string &place, bool isLeaving)
+std::string upstreamEntry(const Endpoint &endpoint, const std::string &place, bool isDraining)
 {
     return nlohmann::json{{"service", "plain"}, {"address", toText(endpoint)},
                           {"zone", place},      {"version", "v1"},
-                          {"slots", 16},        {"state", isLeaving ? "draining" : "ready"},
+                          {"slots", 16},        {"state", isDraining ? "draining" : "ready"},
                           {"coldLeftMs", 0},    {"sequence", 1},
                           {"born", 1}}
         .dump();
--- a/tests/soak/history.cpp
+++ b/tests/soak/history.cpp
@@ -20,19 +20,19 @@
 using RunsByAttempt = std::map<std::string, std::vector<const RunRecord *>>;
 
 /// \returns whether a fault overlaps the interval, or ended at most \a recovery before it.
-bool isHarmed(const std::vector<FaultInterval> &harms, SoakTime from, SoakTime to,
-              Milliseconds recovery)
+bool overlapsFault(const std::vector<FaultInterval> &faults, SoakTime from, SoakTime to,
+                   Milliseconds recovery)
 {
-    return std::any_of(harms.begin(), harms.end(), [&](const FaultInterval &harm) {
-        return harm.from <= to && from <= harm.to + recovery;
+    return std::any_of(faults.begin(), faults.end(), [&](const FaultInterval &fault) {
+        return fault.from <= to && from <= fault.to + recovery;
     });
 }
 
-bool isRouterHarmed(const SoakHistory &history, std::size_t router, SoakTime from, SoakTime to,
-                    Milliseconds recovery)
+bool overlapsRouterFault(const SoakHistory &history, std::size_t router, SoakTime from, SoakTime to,
+                         Milliseconds recovery)
 {
     const auto found = history.routerFaults.find(router);
-    return found != history.routerFaults.end() && isHarmed(found->second, from, to, recovery);
+    return found != history.routerFaults.end() && overlapsFault(found->second, from, to, recovery);
 }
 
 RunsByAttempt runsOf(const SoakHistory &history)
@@ -46,7 +46,7 @@
     return runs;
 }
 
-std::size_t countOf(const RunsByAttempt &runs, const std::string &attempt)
+std::size_t runCount(const RunsByAttempt &runs, const std::string &attempt)
 {
     const auto found = runs.find(attempt);
     return found == runs.end() ? 0 : found->second.size();
@@ -58,7 +58,7 @@
                        call.router, call.sentAt.count(), call.endedAt.count(), call.status);
 }
 
-std::string wholeAnswer(const CallRecord &call)
+std::string expectedBody(const CallRecord &call)
 {
     if (call.kind != CallKind::Stream) {
         return responseBodyFor(call.attemptId);
@@ -72,21 +72,21 @@
 
 /// A completed call returns exactly the response to itself after a run; a truncated one returns a
 /// prefix of it.
-void checkAnswers(const SoakHistory &history, const RunsByAttempt &runs, Violations &found)
+void checkResponses(const SoakHistory &history, const RunsByAttempt &runs, Violations &violations)
 {
     for (const CallRecord &call : history.calls) {
         if (call.status != statusOk) {
             continue;
         }
-        const std::string expected = wholeAnswer(call);
+        const std::string expected = expectedBody(call);
         const bool isWhole = call.outcome == CallOutcome::Completed;
         if (isWhole ? call.body != expected : !expected.starts_with(call.body)) {
-            found.push_back(
+            violations.push_back(
                 {"own-answer",
                  describe(call) + " has a body that belongs to another call or is damaged"});
         }
-        if (isWhole && countOf(runs, call.attemptId) == 0) {
-            found.push_back({"own-answer", describe(call) + " succeeded but never ran"});
+        if (isWhole && runCount(runs, call.attemptId) == 0) {
+            violations.push_back({"own-answer", describe(call) + " succeeded but never ran"});
         }
     }
 }
@@ -94,53 +94,55 @@
 /// Non-idempotent calls run at most once, none runs that was answered with a "not executed" status,
 /// before or after it, and retries are bounded.
 void checkRuns(const SoakHistory &history, const RunsByAttempt &runs, const SoakBounds &bounds,
-               Violations &found)
+               Violations &violations)
 {
-    static const std::set<int> notRun{408, 421, 429, 503};
+    static const std::set<int> notExecutedStatuses{408, 421, 429, 503};
     for (const CallRecord &call : history.calls) {
-        const std::size_t count = countOf(runs, call.attemptId);
+        const std::size_t count = runCount(runs, call.attemptId);
         if (call.kind == CallKind::NonIdempotent && count > 1) {
-            found.push_back({"at-most-once", describe(call) + " ran more than once"});
+            violations.push_back({"at-most-once", describe(call) + " ran more than once"});
         }
         if (call.kind == CallKind::NonIdempotent && count > 0
-            && call.outcome == CallOutcome::Completed && notRun.contains(call.status)) {
-            found.push_back(
+            && call.outcome == CallOutcome::Completed
+            && notExecutedStatuses.contains(call.status)) {
+            violations.push_back(
                 {"true-refusal", describe(call) + " was reported as not executed but ran"});
         }
         if (count > bounds.maxRuns) {
-            found.push_back({"most-runs", fmt::format("{} ran {} times", describe(call), count)});
+            violations.push_back(
+                {"most-runs", fmt::format("{} ran {} times", describe(call), count)});
         }
     }
 }
 
 /// A draining upstream gets no new requests after the drain bound, unless a fault delayed the news.
-void checkDraining(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
+void checkDraining(const SoakHistory &history, const SoakBounds &bounds, Violations &violations)
 {
     std::map<std::string, std::size_t> routers;
     for (const CallRecord &call : history.calls) {
         routers[call.attemptId] = call.router;
     }
     for (const RunRecord &run : history.runs) {
-        const auto leaving = history.drainingSince.find(run.upstream);
-        if (leaving == history.drainingSince.end()
-            || run.arrivedAt <= leaving->second + bounds.drain) {
+        const auto draining = history.drainingSince.find(run.upstream);
+        if (draining == history.drainingSince.end()
+            || run.arrivedAt <= draining->second + bounds.drain) {
             continue;
         }
         const bool isExcused =
-            isHarmed(history.storeFaults, leaving->second, run.arrivedAt, bounds.recovery)
-            || isRouterHarmed(history, routers[run.attemptId], leaving->second, run.arrivedAt,
-                              bounds.recovery);
+            overlapsFault(history.storeFaults, draining->second, run.arrivedAt, bounds.recovery)
+            || overlapsRouterFault(history, routers[run.attemptId], draining->second, run.arrivedAt,
+                                   bounds.recovery);
         if (!isExcused) {
-            found.push_back(
+            violations.push_back(
                 {"draining", fmt::format("call {} reached {} at {} ms, which had been draining "
                                          "since {} ms",
                                          run.attemptId, run.upstream, run.arrivedAt.count(),
-                                         leaving->second.count())});
+                                         draining->second.count())});
         }
     }
 }
 
-bool showsVersion(const CallRecord &call)
+bool provesVersion(const CallRecord &call)
 {
     return call.routeVersion != 0 && call.outcome == CallOutcome::Completed
            && call.status == statusOk;
@@ -154,16 +156,16 @@
 }
 
 /// \returns a lower bound of the configuration version that the router applied to the call, or 0.
-std::uint64_t decidedWith(const SoakHistory &history, const CallRecord &call)
+std::uint64_t minAppliedVersion(const SoakHistory &history, const CallRecord &call)
 {
-    if (showsVersion(call)) {
+    if (provesVersion(call)) {
         return call.routeVersion;
     }
     return call.status == statusUnauthorized ? revokedBy(history, call) : 0;
 }
 
 /// \returns the version that the router can't have applied yet when it handled the call, or 0.
-std::uint64_t decidedBefore(const SoakHistory &history, const CallRecord &call)
+std::uint64_t firstUnappliedVersion(const SoakHistory &history, const CallRecord &call)
 {
     if (call.outcome != CallOutcome::Completed) {
         return 0;
@@ -175,12 +177,12 @@
 }
 
 /// Within one incarnation of a router its configuration version never decreases.
-void checkNoReturn(const SoakHistory &history, Violations &found)
+void checkVersionsMonotonic(const SoakHistory &history, Violations &violations)
 {
     // By router and incarnation: when an effect of each version was first observed.
     std::map<std::pair<std::size_t, std::size_t>, std::map<std::uint64_t, SoakTime>> seen;
     for (const CallRecord &call : history.calls) {
-        const std::uint64_t version = decidedWith(history, call);
+        const std::uint64_t version = minAppliedVersion(history, call);
         if (version == 0) {
             continue;
         }
@@ -189,13 +191,13 @@
         entry->second = std::min(entry->second, call.endedAt);
     }
     for (const CallRecord &call : history.calls) {
-        const std::uint64_t before = decidedBefore(history, call);
+        const std::uint64_t before = firstUnappliedVersion(history, call);
         if (before == 0) {
             continue;
         }
         for (const auto &[version, at] : seen[{call.router, call.incarnation}]) {
             if (version >= before && at < call.sentAt) {
-                found.push_back(
+                violations.push_back(
                     {"no-return", fmt::format("{} was handled with a version before {}, although "
                                               "version {} was applied at {} ms",
                                               describe(call), before, version, at.count())});
@@ -206,24 +208,24 @@
 }
 
 /// Every router applies a configuration version within the propagation bound.
-void checkInForce(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
+void checkPropagation(const SoakHistory &history, const SoakBounds &bounds, Violations &violations)
 {
     std::map<std::uint64_t, SoakTime> acknowledged;
     for (const VersionRecord &record : history.versions) {
         acknowledged[record.version] = record.acknowledgedAt;
     }
     for (const CallRecord &call : history.calls) {
-        const auto version = acknowledged.find(decidedBefore(history, call));
+        const auto version = acknowledged.find(firstUnappliedVersion(history, call));
         if (version == acknowledged.end() || call.sentAt <= version->second + bounds.propagation) {
             continue;
         }
         // A fault exempts only calls sent during it or within its recovery time: one that ended
         // around the edit must not excuse a router that stays outdated.
         const bool isExcused =
-            isHarmed(history.storeFaults, call.sentAt, call.sentAt, bounds.recovery)
-            || isRouterHarmed(history, call.router, call.sentAt, call.sentAt, bounds.recovery);
+            overlapsFault(history.storeFaults, call.sentAt, call.sentAt, bounds.recovery)
+            || overlapsRouterFault(history, call.router, call.sentAt, call.sentAt, bounds.recovery);
         if (!isExcused) {
-            found.push_back(
+            violations.push_back(
                 {"in-force", fmt::format("{} was handled without version {}, written at {} ms",
                                          describe(call), version->first, version->second.count())});
         }
@@ -231,35 +233,35 @@
 }
 
 /// Routes and keys that exist in every version are never rejected as unknown.
-void checkKnown(const SoakHistory &history, Violations &found)
+void checkNotRejectedAsUnknown(const SoakHistory &history, Violations &violations)
 {
     for (const CallRecord &call : history.calls) {
         const bool isUnknownKey =
             call.status == statusUnauthorized && revokedBy(history, call) == 0;
         const bool isUnknownRoute = call.status == statusNotFound && call.routeVersion == 0;
         if (isUnknownKey || isUnknownRoute) {
-            found.push_back({"known", describe(call) + " was rejected as unknown"});
+            violations.push_back({"known", describe(call) + " was rejected as unknown"});
         }
     }
 }
 
 /// The retries of all routers together stay within the retry budget.
-void checkRetries(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
+void checkRetries(const SoakHistory &history, const SoakBounds &bounds, Violations &violations)
 {
     std::vector<SoakTime> requests;
     for (const CallRecord &call : history.calls) {
         requests.push_back(call.sentAt);
     }
-    std::vector<SoakTime> repeats;
-    std::set<std::string> arrived;
+    std::vector<SoakTime> retries;
+    std::set<std::string> seenAttempts;
     std::vector<std::tuple<SoakTime, std::string>> arrivals;
     for (const RunRecord &run : history.runs) {
         arrivals.emplace_back(run.arrivedAt, run.attemptId);
     }
     std::sort(arrivals.begin(), arrivals.end());
     for (const auto &[at, attempt] : arrivals) {
-        if (!arrived.insert(attempt).second) {
-            repeats.push_back(at);
+        if (!seenAttempts.insert(attempt).second) {
+            retries.push_back(at);
         }
     }
     std::sort(requests.begin(), requests.end());
@@ -267,99 +269,105 @@
         return std::distance(std::lower_bound(times.begin(), times.end(), from),
                              std::upper_bound(times.begin(), times.end(), to));
     };
-    for (const SoakTime from : repeats) {
+    for (const SoakTime from : retries) {
         const SoakTime to = from + bounds.retryWindow;
-        const auto sent = within(requests, from - bounds.retryWindow, to);
-        const auto again = within(repeats, from, to);
-        if (static_cast<double>(again)
-            > bounds.retryRatio * static_cast<double>(sent) + bounds.retryMargin) {
-            found.push_back({"retry-budget", fmt::format("{} retries for {} calls from {} ms on",
-                                                         again, sent, from.count())});
+        const auto callCount = within(requests, from - bounds.retryWindow, to);
+        const auto retryCount = within(retries, from, to);
+        if (static_cast<double>(retryCount)
+            > bounds.retryRatio * static_cast<double>(callCount) + bounds.retryMargin) {
+            violations.push_back(
+                {"retry-budget", fmt::format("{} retries for {} calls from {} ms on", retryCount,
+                                             callCount, from.count())});
             return;
         }
     }
 }
 
 /// A graceful stop truncates no call that the router has read, unless another fault is active.
-void checkPlannedStops(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
+void checkPlannedStops(const SoakHistory &history, const SoakBounds &bounds, Violations &violations)
 {
     for (const CallRecord &call : history.calls) {
         const auto stops = history.plannedStops.find(call.router);
         if (call.outcome != CallOutcome::Truncated || stops == history.plannedStops.end()) {
             continue;
         }
-        const bool isAmidStop =
+        const bool overlapsStop =
             std::any_of(stops->second.begin(), stops->second.end(), [&call](SoakTime stop) {
                 return call.sentAt <= stop && stop <= call.endedAt;
             });
         const bool isExcused =
-            isHarmed(history.upstreamFaults, call.sentAt, call.endedAt, bounds.recovery)
-            || isRouterHarmed(history, call.router, call.sentAt, call.endedAt, bounds.recovery);
-        if (isAmidStop && !isExcused) {
-            found.push_back({"planned-stop", describe(call) + " was truncated by a graceful stop"});
+            overlapsFault(history.upstreamFaults, call.sentAt, call.endedAt, bounds.recovery)
+            || overlapsRouterFault(history, call.router, call.sentAt, call.endedAt,
+                                   bounds.recovery);
+        if (overlapsStop && !isExcused) {
+            violations.push_back(
+                {"planned-stop", describe(call) + " was truncated by a graceful stop"});
         }
     }
 }
 
 /// No upstream continues a run for long after its caller has abandoned the call.
-void checkLeaving(const SoakHistory &history, const RunsByAttempt &runs, const SoakBounds &bounds,
-                  Violations &found)
+void checkAbandoned(const SoakHistory &history, const RunsByAttempt &runs, const SoakBounds &bounds,
+                    Violations &violations)
 {
     for (const CallRecord &call : history.calls) {
         if (call.outcome != CallOutcome::Abandoned
-            || isRouterHarmed(history, call.router, call.sentAt, history.end, bounds.recovery)) {
+            || overlapsRouterFault(history, call.router, call.sentAt, history.end,
+                                   bounds.recovery)) {
             continue;
         }
-        const auto its = runs.find(call.attemptId);
-        if (its == runs.end()) {
+        const auto callRuns = runs.find(call.attemptId);
+        if (callRuns == runs.end()) {
             continue;
         }
-        for (const RunRecord *run : its->second) {
+        for (const RunRecord *run : callRuns->second) {
             const SoakTime until = run->endedAt.value_or(history.end);
             const bool isExcused =
-                isHarmed(history.upstreamFaults, call.sentAt, until, bounds.recovery);
+                overlapsFault(history.upstreamFaults, call.sentAt, until, bounds.recovery);
             if (until > call.endedAt + bounds.cancellation && !isExcused) {
-                found.push_back({"after-leaving",
-                                 describe(call) + " still ran after its caller had abandoned it"});
+                violations.push_back(
+                    {"after-leaving",
+                     describe(call) + " still ran after its caller had abandoned it"});
             }
         }
     }
 }
 
 /// A request that crashes upstreams is quarantined before it has crashed too many.
-void checkCrashers(const SoakHistory &history, const RunsByAttempt &runs, const SoakBounds &bounds,
-                   Violations &found)
+void checkQuarantine(const SoakHistory &history, const RunsByAttempt &runs,
+                     const SoakBounds &bounds, Violations &violations)
 {
     std::map<std::string, std::size_t> crashes;
     for (const CallRecord &call : history.calls) {
         if (!call.poisonId.empty()) {
-            crashes[call.poisonId] += countOf(runs, call.attemptId);
+            crashes[call.poisonId] += runCount(runs, call.attemptId);
         }
     }
     for (const auto &[poison, count] : crashes) {
         if (count > bounds.maxCrashes) {
-            found.push_back({"crasher", fmt::format("{} ran {} times", poison, count)});
+            violations.push_back({"crasher", fmt::format("{} ran {} times", poison, count)});
         }
     }
 }
 
 /// After all faults have ended, calls succeed again.
-void checkCalm(const SoakHistory &history, const SoakBounds &bounds, Violations &found)
+void checkRecovery(const SoakHistory &history, const SoakBounds &bounds, Violations &violations)
 {
-    std::size_t asked = 0;
-    std::size_t served = 0;
+    std::size_t expectedCount = 0;
+    std::size_t succeededCount = 0;
     for (const CallRecord &call : history.calls) {
-        const bool isOwed = call.outcome != CallOutcome::Abandoned && call.poisonId.empty()
-                            && revokedBy(history, call) == 0;
-        if (call.sentAt < history.faultFreeFrom + bounds.recovery || !isOwed) {
+        const bool mustSucceed = call.outcome != CallOutcome::Abandoned && call.poisonId.empty()
+                                 && revokedBy(history, call) == 0;
+        if (call.sentAt < history.faultFreeFrom + bounds.recovery || !mustSucceed) {
             continue;
         }
-        ++asked;
-        served += call.outcome == CallOutcome::Completed && call.status == statusOk ? 1 : 0;
+        ++expectedCount;
+        succeededCount += call.outcome == CallOutcome::Completed && call.status == statusOk ? 1 : 0;
     }
-    if (static_cast<double>(served) < bounds.minSuccessShare * static_cast<double>(asked)) {
-        found.push_back(
-            {"calm", fmt::format("{} of {} calls succeeded after all faults", served, asked)});
+    if (static_cast<double>(succeededCount)
+        < bounds.minSuccessShare * static_cast<double>(expectedCount)) {
+        violations.push_back({"calm", fmt::format("{} of {} calls succeeded after all faults",
+                                                  succeededCount, expectedCount)});
     }
 }
 
@@ -377,30 +385,30 @@
 
 std::size_t streamEventCount(std::string_view attempt)
 {
-    constexpr std::size_t fewest = 3;
-    constexpr std::size_t spread = 18;
-    return fewest + hashOf(attempt) % spread;
+    constexpr std::size_t minEvents = 3;
+    constexpr std::size_t eventCountRange = 18;
+    return minEvents + hashOf(attempt) % eventCountRange;
 }
 
 std::vector<Violation> checkHistory(const SoakHistory &history, const SoakBounds &bounds)
 {
-    Violations found;
+    Violations violations;
     const RunsByAttempt runs = runsOf(history);
-    checkAnswers(history, runs, found);
-    checkRuns(history, runs, bounds, found);
-    checkDraining(history, bounds, found);
-    checkNoReturn(history, found);
-    checkInForce(history, bounds, found);
-    checkKnown(history, found);
-    checkRetries(history, bounds, found);
-    checkPlannedStops(history, bounds, found);
-    checkLeaving(history, runs, bounds, found);
-    checkCrashers(history, runs, bounds, found);
-    checkCalm(history, bounds, found);
-    for (const std::string &end : history.unexpectedExits) {
-        found.push_back({"own-end", end});
+    checkResponses(history, runs, violations);
+    checkRuns(history, runs, bounds, violations);
+    checkDraining(history, bounds, violations);
+    checkVersionsMonotonic(history, violations);
+    checkPropagation(history, bounds, violations);
+    checkNotRejectedAsUnknown(history, violations);
+    checkRetries(history, bounds, violations);
+    checkPlannedStops(history, bounds, violations);
+    checkAbandoned(history, runs, bounds, violations);
+    checkQuarantine(history, runs, bounds, violations);
+    checkRecovery(history, bounds, violations);
+    for (const std::string &exit : history.unexpectedExits) {
+        violations.push_back({"own-end", exit});
     }
-    return found;
+    return violations;
 }
 
 } // namespace plantainswitch::soak
--- a/tests/soak/link.cpp
+++ b/tests/soak/link.cpp
@@ -16,16 +16,16 @@
 
 struct FaultyLink::Pipe
 {
-    explicit Pipe(asio::io_context &context, asio::ip::tcp::socket taken)
-        : client(std::move(taken))
+    explicit Pipe(asio::io_context &context, asio::ip::tcp::socket accepted)
+        : client(std::move(accepted))
         , server(context)
     {}
 
-    asio::ip::tcp::socket &from(bool towardsServer)
+    asio::ip::tcp::socket &source(bool towardsServer)
     {
         return towardsServer ? this->client : this->server;
     }
-    asio::ip::tcp::socket &to(bool towardsServer)
+    asio::ip::tcp::socket &destination(bool towardsServer)
     {
         return towardsServer ? this->server : this->client;
     }
@@ -47,11 +47,12 @@
     bool lostBytes = false;
 };
 
-FaultyLink::FaultyLink(asio::io_context &context, const Endpoint &from, const Endpoint &to)
+FaultyLink::FaultyLink(asio::io_context &context, const Endpoint &source,
+                       const Endpoint &destination)
     : context(context)
-    , listenEndpoint(asio::ip::make_address(from.host), from.port)
+    , listenEndpoint(asio::ip::make_address(source.host), source.port)
     , acceptor(context, this->listenEndpoint)
-    , target(asio::ip::make_address(to.host), to.port)
+    , target(asio::ip::make_address(destination.host), destination.port)
 {
     this->accept();
 }
@@ -71,10 +72,10 @@
     return false;
 }
 
-void FaultyLink::setMode(LinkMode newMood)
+void FaultyLink::setMode(LinkMode newMode)
 {
-    this->mode = newMood;
-    if (newMood != LinkMode::Forward) {
+    this->mode = newMode;
+    if (newMode != LinkMode::Forward) {
         return;
     }
     // What was swallowed is gone: such a connection shows as reset, as a real one does that is
@@ -135,7 +136,7 @@
 void FaultyLink::pump(const std::shared_ptr<Pipe> &pipe, bool towardsServer)
 {
     auto &buffer = pipe->buffers.at(towardsServer ? 0 : 1);
-    pipe->from(towardsServer)
+    pipe->source(towardsServer)
         .async_read_some(
             asio::buffer(buffer),
             [this, pipe, towardsServer](const asio::error_code &error, std::size_t size) {
@@ -162,7 +163,7 @@
             return;
         }
         asio::async_write(
-            pipe->to(towardsServer), asio::buffer(*text),
+            pipe->destination(towardsServer), asio::buffer(*text),
             [this, pipe, towardsServer, text](const asio::error_code &failed, std::size_t) {
                 if (failed) {
                     pipe->close(true);
--- a/tests/soak/link.h
+++ b/tests/soak/link.h
@@ -21,7 +21,7 @@
 public:
     FaultyLink(asio::io_context &context, const Endpoint &from, const Endpoint &to);
 
-    void setMode(LinkMode newMood);
+    void setMode(LinkMode newMode);
     void setDelay(Milliseconds newDelay) { this->delay = newDelay; }
     /// Resets all open connections.
     void resetConnections();
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -16,58 +16,58 @@
 namespace {
 
 constexpr int exitOk = 0;
-constexpr int exitBroken = 1;
+constexpr int exitViolations = 1;
 constexpr int exitBadInput = 2;
-constexpr std::size_t mostPrinted = 20;
+constexpr std::size_t maxPrinted = 20;
 /// Name of the file in the log directory to which the plan is written.
 constexpr const char *planFile = "plan.txt";
 
 /// Prints how many calls ended in which way, so that a soak whose calls reached nothing is not
 /// mistaken for a successful one.
-void printEnds(const SoakHistory &history)
+void printOutcomes(const SoakHistory &history)
 {
-    std::map<std::string, std::size_t> ends;
+    std::map<std::string, std::size_t> outcomes;
     for (const CallRecord &call : history.calls) {
         switch (call.outcome) {
         case CallOutcome::Completed:
-            ++ends["status " + std::to_string(call.status)];
+            ++outcomes["status " + std::to_string(call.status)];
             break;
         case CallOutcome::NotConnected:
-            ++ends["not connected"];
+            ++outcomes["not connected"];
             break;
         case CallOutcome::Truncated:
-            ++ends["cut"];
+            ++outcomes["cut"];
             break;
         case CallOutcome::Abandoned:
-            ++ends["left"];
+            ++outcomes["left"];
             break;
         }
     }
     std::cout << " ";
-    for (const auto &[end, count] : ends) {
-        std::cout << " " << end << ": " << count << ";";
+    for (const auto &[outcome, count] : outcomes) {
+        std::cout << " " << outcome << ": " << count << ";";
     }
     std::cout << "\n";
 }
 
 /// Command-line options.
-struct Session
+struct Arguments
 {
     SoakOptions options;
     /// Replaces the plan generated from the seed.
     std::optional<std::vector<FaultStep>> plan;
     std::string program;
     std::filesystem::path logs;
-    bool keepsLogs = false;
+    bool keepLogs = false;
 };
 
-void printFound(const std::vector<Violation> &found, const Session &session,
-                const std::filesystem::path &directory)
+void printViolations(const std::vector<Violation> &violations, const Arguments &arguments,
+                     const std::filesystem::path &directory)
 {
-    for (std::size_t i = 0; i < std::min(found.size(), mostPrinted); ++i) {
-        std::cout << "  " << found[i].check << ": " << found[i].description << "\n";
+    for (std::size_t i = 0; i < std::min(violations.size(), maxPrinted); ++i) {
+        std::cout << "  " << violations[i].check << ": " << violations[i].description << "\n";
     }
-    const SoakOptions &options = session.options;
+    const SoakOptions &options = arguments.options;
     std::cout << "  rerun: plantain-soak --program PLANTAIND --seed " << options.seed
               << " --seconds " << options.faultSeconds << " --routers " << options.routers
               << " --upstreams " << options.upstreams << " --callers " << options.callers
@@ -76,28 +76,28 @@
 }
 
 /// Runs the soak of one seed. \returns whether no guarantee was violated.
-bool playOne(const Session &session)
+bool runSeed(const Arguments &arguments)
 {
     const std::filesystem::path directory =
-        session.logs / ("seed-" + std::to_string(session.options.seed));
+        arguments.logs / ("seed-" + std::to_string(arguments.options.seed));
     std::filesystem::remove_all(directory);
     std::filesystem::create_directories(directory);
     const std::vector<FaultStep> plan =
-        session.plan ? *session.plan : generatePlan(session.options);
+        arguments.plan ? *arguments.plan : generatePlan(arguments.options);
     std::ofstream(directory / planFile) << textOf(plan);
-    Soak soak(session.options, plan, session.program, directory);
+    Soak soak(arguments.options, plan, arguments.program, directory);
     const SoakHistory &history = soak.run();
-    const std::vector<Violation> found = checkHistory(history, SoakBounds{});
-    std::cout << "seed " << session.options.seed << ": " << history.calls.size() << " calls, "
-              << history.runs.size() << " runs, " << plan.size() << " faults, " << found.size()
+    const std::vector<Violation> violations = checkHistory(history, SoakBounds{});
+    std::cout << "seed " << arguments.options.seed << ": " << history.calls.size() << " calls, "
+              << history.runs.size() << " runs, " << plan.size() << " faults, " << violations.size()
               << " guarantees violated\n";
-    printEnds(history);
+    printOutcomes(history);
     std::cout << std::flush;
-    if (!found.empty()) {
-        printFound(found, session, directory);
+    if (!violations.empty()) {
+        printViolations(violations, arguments, directory);
         return false;
     }
-    if (!session.keepsLogs) {
+    if (!arguments.keepLogs) {
         std::filesystem::remove_all(directory);
     }
     return true;
@@ -113,67 +113,69 @@
 
 int run(int argc, char **argv)
 {
-    Session session;
-    SoakOptions &chosen = session.options;
+    Arguments arguments;
+    SoakOptions &soakOptions = arguments.options;
     std::string logs;
     std::string plan;
     std::uint64_t seeds = 1;
-    options::options_description described(
+    options::options_description description(
         "plantain-soak: injects faults around router processes and checks what callers and "
         "upstreams observe");
-    described.add_options()("help", "show this text")(
-        "program", options::value(&session.program)->required(),
+    description.add_options()("help", "show this text")(
+        "program", options::value(&arguments.program)->required(),
         "path of plantaind")("logs", options::value(&logs)->default_value("soak-logs"),
                              "directory for settings and logs; kept for seeds that fail")(
-        "seed", options::value(&chosen.seed)->default_value(chosen.seed),
+        "seed", options::value(&soakOptions.seed)->default_value(soakOptions.seed),
         "first seed")("seeds", options::value(&seeds)->default_value(seeds),
                       "number of consecutive seeds to run")(
-        "seconds", options::value(&chosen.faultSeconds)->default_value(chosen.faultSeconds),
+        "seconds",
+        options::value(&soakOptions.faultSeconds)->default_value(soakOptions.faultSeconds),
         "seconds in which faults are injected; about 20 without faults follow")(
-        "routers", options::value(&chosen.routers)->default_value(chosen.routers),
-        "number of routers")("upstreams",
-                             options::value(&chosen.upstreams)->default_value(chosen.upstreams),
-                             "number of upstreams")(
-        "callers", options::value(&chosen.callers)->default_value(chosen.callers),
+        "routers", options::value(&soakOptions.routers)->default_value(soakOptions.routers),
+        "number of routers")(
+        "upstreams", options::value(&soakOptions.upstreams)->default_value(soakOptions.upstreams),
+        "number of upstreams")(
+        "callers", options::value(&soakOptions.callers)->default_value(soakOptions.callers),
         "callers")("pause",
-                   options::value(&chosen.meanFaultIntervalSeconds)
-                       ->default_value(chosen.meanFaultIntervalSeconds),
+                   options::value(&soakOptions.meanFaultIntervalSeconds)
+                       ->default_value(soakOptions.meanFaultIntervalSeconds),
                    "mean time between two faults, in seconds")(
         "plan", options::value(&plan),
         "file with the faults to inject instead of those generated from the seed")(
         "keep", "keep the logs of seeds that pass too");
-    options::variables_map given;
+    options::variables_map variables;
     try {
-        options::store(options::parse_command_line(argc, argv, described), given);
-        if (given.count("help") > 0) {
-            std::cout << described << "\n";
+        options::store(options::parse_command_line(argc, argv, description), variables);
+        if (variables.count("help") > 0) {
+            std::cout << description << "\n";
             return exitOk;
         }
-        options::notify(given);
+        options::notify(variables);
     } catch (const options::error &error) {
         std::cerr << error.what() << "\n";
         return exitBadInput;
     }
-    if (chosen.routers == 0 || chosen.upstreams == 0 || chosen.meanFaultIntervalSeconds <= 0.0) {
+    if (soakOptions.routers == 0 || soakOptions.upstreams == 0
+        || soakOptions.meanFaultIntervalSeconds <= 0.0) {
         std::cerr << "--routers, --upstreams and --pause must be above 0\n";
         return exitBadInput;
     }
-    if (!plan.empty() && !(session.plan = readPlan(plan))) {
+    if (!plan.empty() && !(arguments.plan = readPlan(plan))) {
         std::cerr << plan
                   << ": can't be read, or a line is not \"MILLISECONDS FAULT TARGET DURATION "
                      "INTENSITY\"\n";
         return exitBadInput;
     }
-    session.logs = logs;
-    session.keepsLogs = given.count("keep") > 0;
+    arguments.logs = logs;
+    arguments.keepLogs = variables.count("keep") > 0;
     std::signal(SIGPIPE, SIG_IGN);
-    std::uint64_t broken = 0;
+    std::uint64_t failed = 0;
     for (std::uint64_t i = 0; i < seeds; ++i) {
-        broken += playOne(session) ? 0 : 1;
-        ++chosen.seed;
+        failed += runSeed(arguments) ? 0 : 1;
+        ++soakOptions.seed;
     }
-    std::cout << seeds - broken << " of " << seeds << " seeds passed" << std::endl;
-    return broken == 0 ? exitOk : exitBroken;
+    std::cout << seeds - failed << " of " << seeds << " seeds passed" << std::endl;
+    return failed == 0 ? exitOk : exitViolations;
 }
 
 } // namespace
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, faultKindCount> names{
+constexpr std::array<std::string_view, faultKindCount> faultNames{
     "router-kill",         "router-pause",   "router-stop",      "router-reload",
     "all-routers-kill",    "rolling-stop",   "upstream-crash",   "upstream-dark",
     "upstream-slow",       "upstream-fails", "upstream-rejects", "upstream-loses-answers",
@@ -22,51 +22,51 @@
     "store-slow",          "store-loses",    "store-drops",      "store-lapses",
     "new-route",           "revoked-key",    "crashing-call"};
 
-constexpr std::int64_t shortestSpan = 200;
-constexpr std::int64_t longestSpan = 3500;
+constexpr std::int64_t minDuration = 200;
+constexpr std::int64_t maxDuration = 3500;
 
 /// Draws all kinds once in random order before it repeats any.
-class KindDeck
+class KindShuffler
 {
 public:
     FaultKind draw(std::mt19937_64 &random)
     {
-        if (this->left.empty()) {
-            this->left.resize(faultKindCount);
-            std::iota(this->left.begin(), this->left.end(), std::size_t{0});
-            std::shuffle(this->left.begin(), this->left.end(), random);
+        if (this->remaining.empty()) {
+            this->remaining.resize(faultKindCount);
+            std::iota(this->remaining.begin(), this->remaining.end(), std::size_t{0});
+            std::shuffle(this->remaining.begin(), this->remaining.end(), random);
         }
-        const auto kind = static_cast<FaultKind>(this->left.back());
-        this->left.pop_back();
+        const auto kind = static_cast<FaultKind>(this->remaining.back());
+        this->remaining.pop_back();
         return kind;
     }
 
 private:
-    std::vector<std::size_t> left;
+    std::vector<std::size_t> remaining;
 };
 
 } // namespace
 
 std::string_view nameOf(FaultKind kind) noexcept
 {
-    return names.at(static_cast<std::size_t>(kind));
+    return faultNames.at(static_cast<std::size_t>(kind));
 }
 
 std::vector<FaultStep> generatePlan(const SoakOptions &options)
 {
     std::mt19937_64 random(options.seed);
-    std::exponential_distribution<double> pause(1.0 / options.meanFaultIntervalSeconds);
-    std::uniform_int_distribution<std::int64_t> spans(shortestSpan, longestSpan);
-    std::uniform_real_distribution<double> strengths(0.05, 0.6);
-    KindDeck deck;
+    std::exponential_distribution<double> interval(1.0 / options.meanFaultIntervalSeconds);
+    std::uniform_int_distribution<std::int64_t> durations(minDuration, maxDuration);
+    std::uniform_real_distribution<double> intensities(0.05, 0.6);
+    KindShuffler shuffler;
     std::vector<FaultStep> steps;
-    for (double at = 1.0 + pause(random); at < options.faultSeconds; at += pause(random)) {
+    for (double at = 1.0 + interval(random); at < options.faultSeconds; at += interval(random)) {
         FaultStep step;
         step.at = SoakTime{static_cast<std::int64_t>(at * 1000.0)};
-        step.kind = deck.draw(random);
+        step.kind = shuffler.draw(random);
         step.target = random();
-        step.duration = Milliseconds{spans(random)};
-        step.intensity = strengths(random);
+        step.duration = Milliseconds{durations(random)};
+        step.intensity = intensities(random);
         steps.push_back(step);
     }
     return steps;
@@ -93,17 +93,17 @@
         }
         std::istringstream fields(line);
         std::int64_t at = 0;
-        std::int64_t span = 0;
+        std::int64_t duration = 0;
         std::string kind;
         FaultStep step;
-        fields >> at >> kind >> step.target >> span >> step.intensity;
-        const auto found = std::find(names.begin(), names.end(), kind);
-        if (!fields || found == names.end()) {
+        fields >> at >> kind >> step.target >> duration >> step.intensity;
+        const auto found = std::find(faultNames.begin(), faultNames.end(), kind);
+        if (!fields || found == faultNames.end()) {
             return std::nullopt;
         }
         step.at = SoakTime{at};
-        step.duration = Milliseconds{span};
-        step.kind = static_cast<FaultKind>(found - names.begin());
+        step.duration = Milliseconds{duration};
+        step.kind = static_cast<FaultKind>(found - faultNames.begin());
         plan.push_back(step);
     }
     return plan;
--- a/tests/soak/process.cpp
+++ b/tests/soak/process.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr int cannotStart = 127;
+constexpr int exitCannotExecute = 127;
 constexpr mode_t logMode = 0644;
 
 } // namespace
@@ -34,15 +34,15 @@
     // that they stay pending. They are blocked before the fork, because the child may be signalled
     // before its first instruction.
     gateway::blockHandledSignals();
-    const pid_t started = fork();
-    if (started != 0) {
+    const pid_t child = fork();
+    if (child != 0) {
         gateway::unblockHandledSignals();
     }
-    if (started < 0) {
+    if (child < 0) {
         throw std::system_error(errno, std::generic_category(), "fork");
     }
-    if (started > 0) {
-        this->pid = started;
+    if (child > 0) {
+        this->pid = child;
         return;
     }
     const int output = open(this->log.c_str(), O_WRONLY | O_CREAT | O_APPEND, logMode);
@@ -52,7 +52,7 @@
     close_range(STDERR_FILENO + 1, ~0U, 0);
     execl(this->program.c_str(), this->program.c_str(), "--dialect", "platform", "--config",
           this->settings.c_str(), static_cast<char *>(nullptr));
-    _exit(cannotStart);
+    _exit(exitCannotExecute);
 }
 
 void RouterProcess::signal(int number)
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -20,26 +20,26 @@
 constexpr std::uint16_t storePort = 7105;
 constexpr std::uint16_t storeLinkPort = 7106;
 constexpr std::uint16_t upstreamPort = 7107;
-constexpr std::uint16_t linkPort = 7108;
+constexpr std::uint16_t upstreamLinkPort = 7108;
 /// Last octets of the loopback addresses; routers and upstreams are numbered from theirs on.
 constexpr std::size_t storeHost = 1;
 constexpr std::size_t firstRouterHost = 10;
 constexpr std::size_t firstUpstreamHost = 100;
-constexpr std::size_t mostUpstreams = 150;
+constexpr std::size_t maxUpstreams = 150;
 constexpr std::size_t keyCount = 24;
 /// Time for the routers to start and discover everything before callers start.
 constexpr Milliseconds warmUp{1500};
 /// Time without faults at the end; longer than the recovery time of the checks.
-constexpr Milliseconds calmSpan{9000};
-constexpr Milliseconds lastAnswers{6000};
-constexpr Milliseconds watchPause{20};
+constexpr Milliseconds faultFreeDuration{9000};
+constexpr Milliseconds lastResponseTimeout{6000};
+constexpr Milliseconds superviseInterval{20};
 /// Grace period of a stop in the routers' settings.
 constexpr std::int64_t graceSeconds = 6;
 /// How long a draining upstream still serves.
-constexpr Milliseconds leavingSpan{9000};
+constexpr Milliseconds drainDuration{9000};
 /// How long an upstream that a request has crashed stays down.
-constexpr Milliseconds crashedSpan{1500};
-constexpr std::size_t crasherTimes = 20;
+constexpr Milliseconds crashDowntime{1500};
+constexpr std::size_t poisonCallCount = 20;
 /// Delay of the edit that follows the end of StoreUnresponsive.
 constexpr Milliseconds editDelay{50};
 
@@ -64,16 +64,18 @@
 {
     // Each process uses its own subnet, so that several soaks can run in parallel.
     const auto process = static_cast<std::uint32_t>(getpid());
-    constexpr std::uint32_t nets = 250;
-    return {fmt::format("127.{}.{}.{}", 1 + process / nets % nets, 1 + process % nets, host), port};
+    constexpr std::uint32_t subnetsPerOctet = 250;
+    return {fmt::format("127.{}.{}.{}", 1 + process / subnetsPerOctet % subnetsPerOctet,
+                        1 + process % subnetsPerOctet, host),
+            port};
 }
 
-void Soak::runAfter(Milliseconds delay, std::function<void()> work)
+void Soak::runAfter(Milliseconds delay, std::function<void()> handler)
 {
     const auto timer = std::make_shared<asio::steady_timer>(this->context, delay);
-    timer->async_wait([timer, work = std::move(work)](const asio::error_code &error) {
+    timer->async_wait([timer, handler = std::move(handler)](const asio::error_code &error) {
         if (!error) {
-            work();
+            handler();
         }
     });
 }
@@ -95,41 +97,41 @@
     this->history.versions.push_back({this->version, this->now()});
 }
 
-void Soak::registerUpstream(std::size_t slot, bool isLeaving)
+void Soak::registerUpstream(std::size_t index, bool isDraining)
 {
-    this->store->put("servers", this->upstreams[slot].upstream->name(),
-                     upstreamEntry(this->endpointOf(firstUpstreamHost + slot, linkPort),
-                                   slot % 2 == 0 ? "hall-a" : "hall-b", isLeaving));
+    this->store->put("servers", this->upstreams[index].upstream->name(),
+                     upstreamEntry(this->endpointOf(firstUpstreamHost + index, upstreamLinkPort),
+                                   index % 2 == 0 ? "hall-a" : "hall-b", isDraining));
 }
 
 void Soak::addUpstream()
 {
-    const std::size_t slot = this->upstreams.size();
-    const Endpoint own = this->endpointOf(firstUpstreamHost + slot, upstreamPort);
-    UpstreamNode made;
-    made.upstream =
-        std::make_unique<SoakUpstream>(this->context, this->clock, fmt::format("u-{}", slot), own,
-                                       this->options.seed + slot, this->history, this->startTime);
-    made.link = std::make_unique<FaultyLink>(
-        this->context, this->endpointOf(firstUpstreamHost + slot, linkPort), own);
-    made.upstream->onCrash([this, slot] {
+    const std::size_t index = this->upstreams.size();
+    const Endpoint endpoint = this->endpointOf(firstUpstreamHost + index, upstreamPort);
+    UpstreamNode node;
+    node.upstream = std::make_unique<SoakUpstream>(
+        this->context, this->clock, fmt::format("u-{}", index), endpoint,
+        this->options.seed + index, this->history, this->startTime);
+    node.link = std::make_unique<FaultyLink>(
+        this->context, this->endpointOf(firstUpstreamHost + index, upstreamLinkPort), endpoint);
+    node.upstream->onCrash([this, index] {
         // Deferred, because the caller of this handler still uses the upstream.
-        this->runAfter(Milliseconds{0}, [this, slot] {
-            this->history.upstreamFaults.push_back({this->now(), this->now() + crashedSpan});
-            this->crashUpstream(slot, crashedSpan);
+        this->runAfter(Milliseconds{0}, [this, index] {
+            this->history.upstreamFaults.push_back({this->now(), this->now() + crashDowntime});
+            this->crashUpstream(index, crashDowntime);
         });
     });
-    this->upstreams.push_back(std::move(made));
-    this->activeUpstreams.push_back(slot);
-    this->registerUpstream(slot, false);
+    this->upstreams.push_back(std::move(node));
+    this->activeUpstreams.push_back(index);
+    this->registerUpstream(index, false);
 }
 
 void Soak::addRouter(std::size_t number)
 {
     const std::size_t host = firstRouterHost + number;
-    Router made;
-    made.callers = this->endpointOf(host, callersPort);
-    made.storeLink =
+    Router router;
+    router.callers = this->endpointOf(host, callersPort);
+    router.storeLink =
         std::make_unique<FaultyLink>(this->context, this->endpointOf(host, storeLinkPort),
                                      this->endpointOf(storeHost, storePort));
     std::vector<std::string> seeds;
@@ -138,7 +140,7 @@
     }
     const RouterDocument settings{fmt::format("router-{}", number),
                                   number % 2 == 0 ? "hall-a" : "hall-b",
-                                  made.callers,
+                                  router.callers,
                                   readinessPort,
                                   datagramPort,
                                   peerPort,
@@ -147,10 +149,10 @@
                                   graceSeconds};
     const std::string path = this->directory / fmt::format("router-{}.json", number);
     std::ofstream(path) << textOf(settings);
-    made.process = std::make_unique<RouterProcess>(
+    router.process = std::make_unique<RouterProcess>(
         this->program, path, this->directory / fmt::format("router-{}.log", number));
-    this->environment.routers.push_back({made.callers, 0});
-    this->routers.push_back(std::move(made));
+    this->environment.routers.push_back({router.callers, 0});
+    this->routers.push_back(std::move(router));
     this->routers.back().process->start();
 }
 
@@ -178,12 +180,13 @@
     for (const FaultStep &step : this->plan) {
         this->runAfter(warmUp + step.at, [this, step] { this->injectFault(step); });
     }
-    const auto harmful =
+    const auto faultsEnd =
         warmUp + SoakTime{static_cast<std::int64_t>(this->options.faultSeconds * 1000)};
     // The last faults take up to this long to end.
-    this->history.faultFreeFrom = harmful + Milliseconds{4000};
-    this->runAfter(this->history.faultFreeFrom + calmSpan, [this] { this->callers->stop(); });
-    this->runAfter(this->history.faultFreeFrom + calmSpan + lastAnswers, [this] {
+    this->history.faultFreeFrom = faultsEnd + Milliseconds{4000};
+    this->runAfter(this->history.faultFreeFrom + faultFreeDuration,
+                   [this] { this->callers->stop(); });
+    this->runAfter(this->history.faultFreeFrom + faultFreeDuration + lastResponseTimeout, [this] {
         this->isFinished = true;
         this->context.stop();
     });
@@ -195,13 +198,13 @@
 void Soak::injectFault(const FaultStep &step)
 {
     const std::size_t router = step.target % this->routers.size();
-    const std::size_t slot = this->activeUpstreams[step.target % this->activeUpstreams.size()];
+    const std::size_t index = this->activeUpstreams[step.target % this->activeUpstreams.size()];
     if (step.kind <= FaultKind::RollingStop) {
         this->injectRouterFault(step, router);
     } else if (step.kind <= FaultKind::UpstreamDrains) {
-        this->injectUpstreamFault(step, slot);
+        this->injectUpstreamFault(step, index);
     } else if (step.kind <= FaultKind::LinkDropsOneWay) {
-        this->injectLinkFault(step, slot);
+        this->injectLinkFault(step, index);
     } else if (step.kind <= FaultKind::StoreRegistrationsExpire) {
         this->injectStoreFault(step, router);
     } else {
@@ -241,7 +244,7 @@
     }
 }
 
-void Soak::killRouter(std::size_t number, Milliseconds down)
+void Soak::killRouter(std::size_t number, Milliseconds downtime)
 {
     Router &router = this->routers[number];
     if (!router.process->isRunning()) {
@@ -249,8 +252,8 @@
     }
     router.isExitExpected = true;
     router.process->signal(SIGKILL);
-    this->recordRouterFault(number, this->now(), this->now() + down);
-    this->runAfter(down, [this, number] { this->restartRouter(number); });
+    this->recordRouterFault(number, this->now(), this->now() + downtime);
+    this->runAfter(downtime, [this, number] { this->restartRouter(number); });
 }
 
 void Soak::stopRouter(std::size_t number)
@@ -291,25 +294,25 @@
                 fmt::format("router {} ended unexpectedly with {} at {} ms", number, *end,
                             this->now().count()));
         }
-        const bool isHandled = router.isExitExpected && !router.isStopping;
-        if (!isHandled) {
-            this->recordRouterFault(number, this->now(), this->now() + watchPause);
+        const bool isRestartScheduled = router.isExitExpected && !router.isStopping;
+        if (!isRestartScheduled) {
+            this->recordRouterFault(number, this->now(), this->now() + superviseInterval);
             this->restartRouter(number);
         }
     }
-    this->runAfter(watchPause, [this] { this->superviseRouters(); });
+    this->runAfter(superviseInterval, [this] { this->superviseRouters(); });
 }
 
-void Soak::injectUpstreamFault(const FaultStep &step, std::size_t slot)
+void Soak::injectUpstreamFault(const FaultStep &step, std::size_t index)
 {
-    SoakUpstream &upstream = *this->upstreams[slot].upstream;
+    SoakUpstream &upstream = *this->upstreams[index].upstream;
     if (step.kind == FaultKind::UpstreamDrains) {
-        this->drainUpstream(slot);
+        this->drainUpstream(index);
         return;
     }
     this->history.upstreamFaults.push_back({this->now(), this->now() + step.duration});
     if (step.kind == FaultKind::UpstreamCrash) {
-        this->crashUpstream(slot, step.duration);
+        this->crashUpstream(index, step.duration);
         return;
     }
     UpstreamFaults faults;
@@ -328,36 +331,36 @@
     this->runAfter(step.duration, [&upstream] { upstream.setFaults({}); });
 }
 
-void Soak::crashUpstream(std::size_t slot, Milliseconds down)
+void Soak::crashUpstream(std::size_t index, Milliseconds downtime)
 {
-    this->upstreams[slot].upstream->crash();
-    this->upstreams[slot].link->stopListening();
-    this->runAfter(down, [this, slot] {
-        this->upstreams[slot].upstream->restart();
-        this->upstreams[slot].link->resumeListening();
+    this->upstreams[index].upstream->crash();
+    this->upstreams[index].link->stopListening();
+    this->runAfter(downtime, [this, index] {
+        this->upstreams[index].upstream->restart();
+        this->upstreams[index].link->resumeListening();
     });
 }
 
-void Soak::drainUpstream(std::size_t slot)
+void Soak::drainUpstream(std::size_t index)
 {
-    if (this->upstreams.size() >= mostUpstreams) {
+    if (this->upstreams.size() >= maxUpstreams) {
         return;
     }
     // The replacement is registered before the old upstream drains.
     this->addUpstream();
-    std::erase(this->activeUpstreams, slot);
-    this->registerUpstream(slot, true);
-    this->history.drainingSince[this->upstreams[slot].upstream->name()] = this->now();
-    this->runAfter(leavingSpan, [this, slot] {
-        this->store->remove("servers", this->upstreams[slot].upstream->name());
-        this->upstreams[slot].upstream->crash();
-        this->upstreams[slot].link->stopListening();
+    std::erase(this->activeUpstreams, index);
+    this->registerUpstream(index, true);
+    this->history.drainingSince[this->upstreams[index].upstream->name()] = this->now();
+    this->runAfter(drainDuration, [this, index] {
+        this->store->remove("servers", this->upstreams[index].upstream->name());
+        this->upstreams[index].upstream->crash();
+        this->upstreams[index].link->stopListening();
     });
 }
 
-void Soak::injectLinkFault(const FaultStep &step, std::size_t slot)
+void Soak::injectLinkFault(const FaultStep &step, std::size_t index)
 {
-    FaultyLink &link = *this->upstreams[slot].link;
+    FaultyLink &link = *this->upstreams[index].link;
     this->history.upstreamFaults.push_back({this->now(), this->now() + step.duration});
     switch (step.kind) {
     case FaultKind::LinkDelay:
@@ -425,20 +428,20 @@
 void Soak::expireRegistrations(const FaultStep &step)
 {
     this->store->setMode(StoreMode::Unavailable);
-    const std::vector<std::size_t> lapsed = this->activeUpstreams;
-    for (const std::size_t slot : lapsed) {
-        this->store->remove("servers", this->upstreams[slot].upstream->name());
+    const std::vector<std::size_t> expired = this->activeUpstreams;
+    for (const std::size_t index : expired) {
+        this->store->remove("servers", this->upstreams[index].upstream->name());
     }
     this->runAfter(step.duration, [this] { this->store->setMode(StoreMode::Healthy); });
-    constexpr Milliseconds renewal{1200};
-    this->history.storeFaults.push_back({this->now(), this->now() + step.duration + renewal});
-    this->runAfter(step.duration + renewal, [this, lapsed] {
-        for (const std::size_t slot : lapsed) {
-            const bool isServing =
-                std::find(this->activeUpstreams.begin(), this->activeUpstreams.end(), slot)
+    constexpr Milliseconds renewalDelay{1200};
+    this->history.storeFaults.push_back({this->now(), this->now() + step.duration + renewalDelay});
+    this->runAfter(step.duration + renewalDelay, [this, expired] {
+        for (const std::size_t index : expired) {
+            const bool isActive =
+                std::find(this->activeUpstreams.begin(), this->activeUpstreams.end(), index)
                 != this->activeUpstreams.end();
-            if (isServing) {
-                this->registerUpstream(slot, false);
+            if (isActive) {
+                this->registerUpstream(index, false);
             }
         }
     });
@@ -448,16 +451,16 @@
 {
     if (step.kind == FaultKind::PoisonCall) {
         this->callers->startPoisonCaller(fmt::format("{}-{}", poisonBodyPrefix, step.at.count()),
-                                         crasherTimes);
+                                         poisonCallCount);
         return;
     }
     this->editConfig(step.target, step.kind == FaultKind::NewRoute);
 }
 
-void Soak::editConfig(std::size_t choice, bool addsRoute)
+void Soak::editConfig(std::size_t choice, bool addRoute)
 {
     this->version += 1 + choice % 3;
-    if (addsRoute) {
+    if (addRoute) {
         this->environment.routeVersions.push_back(this->version);
     } else {
         const std::size_t key = 1 + this->history.revokedKeys.size();
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -51,28 +51,28 @@
     void addRouter(std::size_t number);
     void addUpstream();
     void writeConfig();
-    void registerUpstream(std::size_t slot, bool isLeaving);
+    void registerUpstream(std::size_t index, bool isDraining);
     void injectFault(const FaultStep &step);
     void injectRouterFault(const FaultStep &step, std::size_t number);
-    void injectUpstreamFault(const FaultStep &step, std::size_t slot);
-    void injectLinkFault(const FaultStep &step, std::size_t slot);
+    void injectUpstreamFault(const FaultStep &step, std::size_t index);
+    void injectLinkFault(const FaultStep &step, std::size_t index);
     void injectStoreFault(const FaultStep &step, std::size_t router);
     void applyConfigOrCallStep(const FaultStep &step);
     /// Writes a new configuration version with one route added or one API key revoked. \a choice
     /// selects the size of the version step.
-    void editConfig(std::size_t choice, bool addsRoute);
-    void killRouter(std::size_t number, Milliseconds down);
+    void editConfig(std::size_t choice, bool addRoute);
+    void killRouter(std::size_t number, Milliseconds downtime);
     void stopRouter(std::size_t number);
     void restartRouter(std::size_t number);
     /// Makes the store unavailable and removes all upstream entries, as when their leases expire
     /// during an outage; the upstreams register again some time after it.
     void expireRegistrations(const FaultStep &step);
     /// Ends an upstream as a crash does: its address refuses connections for \a down.
-    void crashUpstream(std::size_t slot, Milliseconds down);
+    void crashUpstream(std::size_t index, Milliseconds downtime);
     /// Registers a replacement, marks the upstream as draining and later removes it.
-    void drainUpstream(std::size_t slot);
+    void drainUpstream(std::size_t index);
     void superviseRouters();
-    void runAfter(Milliseconds delay, std::function<void()> work);
+    void runAfter(Milliseconds delay, std::function<void()> handler);
     void recordRouterFault(std::size_t number, SoakTime from, SoakTime to);
     [[nodiscard]] Endpoint endpointOf(std::size_t host, std::uint16_t port) const;
     [[nodiscard]] SoakTime now() const;
--- a/tests/soak/store.cpp
+++ b/tests/soak/store.cpp
@@ -17,12 +17,12 @@
 constexpr int statusBusy = 503;
 constexpr std::string_view objectsPath = "/objects/";
 /// Maximum time that a watch waits for a change.
-constexpr Milliseconds watchLimit{20'000};
+constexpr Milliseconds maxWatchTime{20'000};
 /// Age of the contents in lists that allow staleness (serializable=1).
 constexpr Milliseconds staleness{2000};
-constexpr std::size_t headBytes = 16 << 10;
+constexpr std::size_t maxHeadBytes = 16 << 10;
 
-std::uint64_t numberIn(const std::string &target, std::string_view name)
+std::uint64_t parseNumberAfter(const std::string &target, std::string_view name)
 {
     const std::size_t at = target.find(name);
     std::uint64_t number = 0;
@@ -33,7 +33,7 @@
     return number;
 }
 
-std::string objectText(const std::string &name, const std::string &spec, std::uint64_t revision)
+std::string formatObject(const std::string &name, const std::string &spec, std::uint64_t revision)
 {
     return fmt::format(R"({{"metadata":{{"name":"{}","rev":{}}},"spec":{}}})", name, revision,
                        spec);
@@ -71,7 +71,7 @@
             }
             gateway::prepareSocket(socket);
             CallerLimits limits;
-            limits.maxHeaderBytes = headBytes;
+            limits.maxHeaderBytes = maxHeadBytes;
             const auto connection = std::make_shared<Connection>(
                 this->nextConnection++, std::make_shared<gateway::ByteStream>(std::move(socket)),
                 limits, this->events, this->clock);
@@ -81,25 +81,25 @@
         });
 }
 
-void SoakStore::setMode(StoreMode newMood)
+void SoakStore::setMode(StoreMode newMode)
 {
-    this->mode = newMood;
-    if (newMood == StoreMode::Unresponsive) {
+    this->mode = newMode;
+    if (newMode == StoreMode::Unresponsive) {
         // Pending watches are lost: their connections stay open but never get a response.
         this->watchers.clear();
     }
-    std::vector<std::uint64_t> waiting;
+    std::vector<std::uint64_t> endedWatches;
     for (const auto &[id, watcher] : this->watchers) {
-        const bool isTold = newMood == StoreMode::Healthy
-                            && !this->changesSince(watcher.kind, watcher.since).empty();
-        const bool isCut =
-            newMood == StoreMode::Unavailable || newMood == StoreMode::ResetsConnections;
-        if (isTold || isCut) {
-            waiting.push_back(id);
+        const bool hasChanges = newMode == StoreMode::Healthy
+                                && !this->changesSince(watcher.kind, watcher.since).empty();
+        const bool isAborted =
+            newMode == StoreMode::Unavailable || newMode == StoreMode::ResetsConnections;
+        if (hasChanges || isAborted) {
+            endedWatches.push_back(id);
         }
     }
-    for (const std::uint64_t id : waiting) {
-        this->endWatch(id, newMood != StoreMode::Healthy);
+    for (const std::uint64_t id : endedWatches) {
+        this->endWatch(id, newMode != StoreMode::Healthy);
     }
 }
 
@@ -121,8 +121,8 @@
     const auto timer = std::make_shared<asio::steady_timer>(this->context, this->delay);
     const std::weak_ptr<Connection> weak = connection;
     timer->async_wait([this, timer, weak, method, target, body](const asio::error_code &error) {
-        if (const auto held = weak.lock(); !error && held && held->isBusy()) {
-            this->answer(held, method, target, body);
+        if (const auto strong = weak.lock(); !error && strong && strong->isBusy()) {
+            this->answer(strong, method, target, body);
         }
     });
 }
@@ -145,7 +145,7 @@
         return;
     }
     if (target.find("watch=") != std::string::npos) {
-        this->watch(connection, kind, numberIn(target, "watch="));
+        this->watch(connection, kind, parseNumberAfter(target, "watch="));
         return;
     }
     this->list(connection, kind, target.find("serializable=1") != std::string::npos);
@@ -162,7 +162,7 @@
     Objects &listed = isStale ? this->snapshots.front().objects : this->objects;
     std::string items;
     for (const auto &[name, object] : listed[kind]) {
-        items += (items.empty() ? "" : ",") + objectText(name, object.spec, object.revision);
+        items += (items.empty() ? "" : ",") + formatObject(name, object.spec, object.revision);
     }
     connection->respond(statusOk, {},
                         fmt::format(R"({{"items":[{}],"hasMore":false,"asOf":{}}})", items,
@@ -185,7 +185,7 @@
         return;
     }
     Watcher watcher{connection, kind, since,
-                    std::make_unique<asio::steady_timer>(this->context, watchLimit)};
+                    std::make_unique<asio::steady_timer>(this->context, maxWatchTime)};
     watcher.timer->async_wait([this, id = connection->id()](const asio::error_code &error) {
         if (!error) {
             this->endWatch(id, false);
@@ -194,7 +194,7 @@
     this->watchers[connection->id()] = std::move(watcher);
 }
 
-void SoakStore::endWatch(std::uint64_t connection, bool isCut)
+void SoakStore::endWatch(std::uint64_t connection, bool isAborted)
 {
     const auto found = this->watchers.find(connection);
     if (found == this->watchers.end()) {
@@ -202,18 +202,18 @@
     }
     const Watcher watcher = std::move(found->second);
     this->watchers.erase(found);
-    const auto held = watcher.connection.lock();
-    if (!held) {
+    const auto strong = watcher.connection.lock();
+    if (!strong) {
         return;
     }
-    if (isCut) {
-        held->abort();
+    if (isAborted) {
+        strong->abort();
         return;
     }
-    held->respond(statusOk, {},
-                  fmt::format(R"({{"events":[{}],"asOf":{}}})",
-                              this->changesSince(watcher.kind, watcher.since), this->revision),
-                  false);
+    strong->respond(statusOk, {},
+                    fmt::format(R"({{"events":[{}],"asOf":{}}})",
+                                this->changesSince(watcher.kind, watcher.since), this->revision),
+                    false);
 }
 
 void SoakStore::create(const std::shared_ptr<Connection> &connection, const std::string &kind,
@@ -248,27 +248,27 @@
     this->applyChange({0, kind, name, {}, true});
 }
 
-void SoakStore::applyChange(Change made)
+void SoakStore::applyChange(Change entry)
 {
     this->snapshots.push_back({this->clock.now(), this->revision, this->objects});
-    made.revision = ++this->revision;
-    if (made.deleted) {
-        this->objects[made.kind].erase(made.name);
+    entry.revision = ++this->revision;
+    if (entry.deleted) {
+        this->objects[entry.kind].erase(entry.name);
     } else {
-        this->objects[made.kind][made.name] = {made.spec, made.revision};
+        this->objects[entry.kind][entry.name] = {entry.spec, entry.revision};
     }
-    const std::string kind = made.kind;
-    this->history.push_back(std::move(made));
+    const std::string kind = entry.kind;
+    this->history.push_back(std::move(entry));
     if (this->mode != StoreMode::Healthy) {
         return;
     }
-    std::vector<std::uint64_t> told;
+    std::vector<std::uint64_t> affectedWatches;
     for (const auto &[id, watcher] : this->watchers) {
         if (watcher.kind == kind) {
-            told.push_back(id);
+            affectedWatches.push_back(id);
         }
     }
-    for (const std::uint64_t id : told) {
+    for (const std::uint64_t id : affectedWatches) {
         this->endWatch(id, false);
     }
 }
@@ -285,13 +285,13 @@
 std::string SoakStore::changesSince(const std::string &kind, std::uint64_t since) const
 {
     std::string text;
-    for (const Change &made : this->history) {
-        if (made.revision <= since || made.kind != kind) {
+    for (const Change &entry : this->history) {
+        if (entry.revision <= since || entry.kind != kind) {
             continue;
         }
-        const std::string spec = made.deleted ? std::string("{}") : made.spec;
+        const std::string spec = entry.deleted ? std::string("{}") : entry.spec;
         text += fmt::format(R"({}{{"object":{},"deleted":{}}})", text.empty() ? "" : ",",
-                            objectText(made.name, spec, made.revision), made.deleted);
+                            formatObject(entry.name, spec, entry.revision), entry.deleted);
     }
     return text;
 }
--- a/tests/soak/store.h
+++ b/tests/soak/store.h
@@ -32,7 +32,7 @@
     void put(const std::string &kind, const std::string &name, const std::string &spec);
     void remove(const std::string &kind, const std::string &name);
 
-    void setMode(StoreMode newMood);
+    void setMode(StoreMode newMode);
     void setDelay(Milliseconds newDelay) { this->delay = newDelay; }
     /// Sets the share of requests whose response is lost; lost writes are still applied.
     void setLossShare(double share) { this->lossShare = share; }
@@ -86,9 +86,9 @@
                std::uint64_t since);
     void create(const std::shared_ptr<Connection> &connection, const std::string &kind,
                 const std::string &body);
-    void applyChange(Change made);
+    void applyChange(Change entry);
     [[nodiscard]] std::string changesSince(const std::string &kind, std::uint64_t since) const;
-    void endWatch(std::uint64_t connection, bool isCut);
+    void endWatch(std::uint64_t connection, bool isAborted);
 
     asio::io_context &context;
     const Clock &clock;
--- a/tests/soak/upstream.cpp
+++ b/tests/soak/upstream.cpp
@@ -9,42 +9,42 @@
 constexpr int statusOk = 200;
 constexpr int statusMisdirected = 421;
 constexpr int statusFailed = 500;
-constexpr int statusFull = 503;
+constexpr int statusUnavailable = 503;
 /// Execution time of a non-streaming request, and the time between two events of a stream.
-constexpr Milliseconds shortestWork{4};
-constexpr Milliseconds longestWork{30};
+constexpr Milliseconds minWorkTime{4};
+constexpr Milliseconds maxWorkTime{30};
 
-std::string valueOf(const gateway::MessageHead &head, std::string_view name)
+std::string headerValue(const gateway::MessageHead &head, std::string_view name)
 {
     const std::string *const value = head.find(name);
     return value == nullptr ? std::string() : *value;
 }
 
-std::size_t resumeAfter(const gateway::MessageHead &head)
+std::size_t lastEventId(const gateway::MessageHead &head)
 {
-    const std::string text = valueOf(head, "Last-Event-Id");
+    const std::string text = headerValue(head, "Last-Event-Id");
     std::size_t number = 0;
     std::from_chars(text.data(), text.data() + text.size(), number);
     return number;
 }
 
-std::vector<gateway::HeaderField> answerFields(const std::string &attempt)
+std::vector<gateway::HeaderField> responseHeaders(const std::string &attemptId)
 {
-    return {{"X-Attempt-Id", attempt}, {"X-Server-Stamp", "stamp"}};
+    return {{"X-Attempt-Id", attemptId}, {"X-Server-Stamp", "stamp"}};
 }
 
 } // namespace
 
 SoakUpstream::SoakUpstream(asio::io_context &context, const Clock &clock, std::string id,
                            const Endpoint &endpoint, std::uint64_t seed, SoakHistory &history,
-                           TimePoint begin)
+                           TimePoint startTime)
     : context(context)
     , clock(clock)
     , id(std::move(id))
     , endpoint(endpoint)
     , random(seed)
     , history(history)
-    , startTime(begin)
+    , startTime(startTime)
 {
     this->events.onRequest = [this](const std::shared_ptr<Connection> &connection,
                                     const gateway::IncomingRequest &request) {
@@ -115,30 +115,30 @@
 
 Milliseconds SoakUpstream::drawWorkTime()
 {
-    std::uniform_int_distribution<std::int64_t> work(shortestWork.count(), longestWork.count());
-    return Milliseconds{static_cast<std::int64_t>(static_cast<double>(work(this->random))
+    std::uniform_int_distribution<std::int64_t> workTime(minWorkTime.count(), maxWorkTime.count());
+    return Milliseconds{static_cast<std::int64_t>(static_cast<double>(workTime(this->random))
                                                   * this->faults.slowdownFactor)};
 }
 
 void SoakUpstream::onRequest(const std::shared_ptr<Connection> &connection,
                              const gateway::IncomingRequest &request)
 {
-    const std::string attempt = valueOf(request.head, "X-Attempt-Id");
-    const bool isMisdirected = valueOf(request.head, "X-Expect-Instance") != this->id;
+    const std::string attemptId = headerValue(request.head, "X-Attempt-Id");
+    const bool isMisdirected = headerValue(request.head, "X-Expect-Instance") != this->id;
     const bool isRejected = !isMisdirected && this->drawChance(this->faults.rejectShare);
     if (isMisdirected || isRejected) {
-        this->history.runs.push_back({attempt, this->id, this->now(), this->now(), true});
-        connection->respond(isMisdirected ? statusMisdirected : statusFull,
-                            {{"X-Attempt-Id", attempt}, {"X-Not-Executed", "1"}}, {}, false);
+        this->history.runs.push_back({attemptId, this->id, this->now(), this->now(), true});
+        connection->respond(isMisdirected ? statusMisdirected : statusUnavailable,
+                            {{"X-Attempt-Id", attemptId}, {"X-Not-Executed", "1"}}, {}, false);
         return;
     }
-    this->startRun(connection, request, attempt);
+    this->startRun(connection, request, attemptId);
 }
 
 void SoakUpstream::startRun(const std::shared_ptr<Connection> &connection,
-                            const gateway::IncomingRequest &request, const std::string &attempt)
+                            const gateway::IncomingRequest &request, const std::string &attemptId)
 {
-    this->history.runs.push_back({attempt, this->id, this->now(), std::nullopt, false});
+    this->history.runs.push_back({attemptId, this->id, this->now(), std::nullopt, false});
     if (request.body.starts_with(poisonBodyPrefix)) {
         this->history.runs.back().endedAt = this->now();
         this->crashHandler();
@@ -147,9 +147,9 @@
     Run run;
     run.connection = connection;
     run.recordIndex = this->history.runs.size() - 1;
-    run.attemptId = attempt;
+    run.attemptId = attemptId;
     run.isStream = request.head.target.starts_with("/stream/");
-    run.nextEvent = resumeAfter(request.head) + 1;
+    run.nextEvent = lastEventId(request.head) + 1;
     run.timer = std::make_unique<asio::steady_timer>(this->context);
     run.truncatesResponse = this->drawChance(this->faults.truncatedResponseShare);
     run.losesResponse = this->drawChance(this->faults.lostResponseShare);
@@ -171,9 +171,9 @@
             return;
         }
         if (found->second.losesResponse) {
-            const auto held = found->second.connection;
+            const auto connectionPointer = found->second.connection;
             this->endRun(connection);
-            held->abort();
+            connectionPointer->abort();
             return;
         }
         if (found->second.isStream && !found->second.fails) {
@@ -190,50 +190,51 @@
     this->endRun(connection);
     const std::string body = responseBodyFor(run.attemptId);
     if (run.truncatesResponse) {
-        run.connection->startChunked(statusOk, answerFields(run.attemptId), false);
+        run.connection->startChunked(statusOk, responseHeaders(run.attemptId), false);
         run.connection->writeChunk(std::string_view(body).substr(0, body.size() / 2));
         this->truncateResponse(run.connection);
         return;
     }
-    run.connection->respond(run.fails ? statusFailed : statusOk, answerFields(run.attemptId),
+    run.connection->respond(run.fails ? statusFailed : statusOk, responseHeaders(run.attemptId),
                             run.fails ? std::string_view("failed") : std::string_view(body), false);
     if (run.sendsExtraResponse) {
-        run.connection->respond(statusOk, answerFields("nobody"), responseBodyFor("nobody"), false);
+        run.connection->respond(statusOk, responseHeaders("nobody"), responseBodyFor("nobody"),
+                                false);
     }
 }
 
 void SoakUpstream::sendNextEvent(std::uint64_t connection)
 {
     Run &run = this->runs.at(connection);
-    const auto held = run.connection;
+    const auto connectionPointer = run.connection;
     const std::size_t last = streamEventCount(run.attemptId);
     if (!run.headersSent) {
         run.headersSent = true;
-        auto fields = answerFields(run.attemptId);
+        auto fields = responseHeaders(run.attemptId);
         fields.push_back({"Content-Type", "text/event-stream"});
-        held->startChunked(statusOk, fields, false);
+        connectionPointer->startChunked(statusOk, fields, false);
     }
     if (run.nextEvent > last) {
         this->endRun(connection);
-        held->finishChunked();
+        connectionPointer->finishChunked();
         return;
     }
     const std::string piece = streamEventFor(run.attemptId, run.nextEvent);
     if (run.truncatesResponse && run.nextEvent > last / 2) {
         // Truncates in the middle of an event.
-        held->writeChunk(std::string_view(piece).substr(0, piece.size() / 2));
+        connectionPointer->writeChunk(std::string_view(piece).substr(0, piece.size() / 2));
         this->endRun(connection);
-        this->truncateResponse(held);
+        this->truncateResponse(connectionPointer);
         return;
     }
-    held->writeChunk(piece);
+    connectionPointer->writeChunk(piece);
     run.nextEvent += 1;
     this->scheduleStep(connection);
 }
 
 void SoakUpstream::truncateResponse(const std::shared_ptr<Connection> &connection)
 {
-    const auto timer = std::make_shared<asio::steady_timer>(this->context, shortestWork);
+    const auto timer = std::make_shared<asio::steady_timer>(this->context, minWorkTime);
     timer->async_wait([timer, connection](const asio::error_code &error) {
         if (!error && connection->isBusy()) {
             connection->abort();
--- a/tests/soak/upstream.h
+++ b/tests/soak/upstream.h
@@ -42,11 +42,11 @@
 public:
     SoakUpstream(asio::io_context &context, const Clock &clock, std::string id,
                  const Endpoint &endpoint, std::uint64_t seed, SoakHistory &history,
-                 TimePoint begin);
+                 TimePoint startTime);
 
     void setFaults(const UpstreamFaults &newFaults) { this->faults = newFaults; }
     /// Sets the handler that is called when a poison request arrives; it has to call crash().
-    void onCrash(std::function<void()> newCrashed) { this->crashHandler = std::move(newCrashed); }
+    void onCrash(std::function<void()> newHandler) { this->crashHandler = std::move(newHandler); }
     /// Resets all connections and refuses new ones.
     void crash();
     /// Serves again after a crash.
@@ -77,7 +77,7 @@
     void onRequest(const std::shared_ptr<Connection> &connection,
                    const gateway::IncomingRequest &request);
     void startRun(const std::shared_ptr<Connection> &connection,
-                  const gateway::IncomingRequest &request, const std::string &attempt);
+                  const gateway::IncomingRequest &request, const std::string &attemptId);
     void scheduleStep(std::uint64_t connection);
     void sendResponse(std::uint64_t connection);
     void sendNextEvent(std::uint64_t connection);
--- a/tests/soak/weight.cpp
+++ b/tests/soak/weight.cpp
@@ -42,24 +42,24 @@
 constexpr std::size_t firstUpstreamHost = 100;
 constexpr std::size_t upstreamCount = 3;
 constexpr std::int64_t graceSeconds = 2;
-constexpr Milliseconds connectLimit{1000};
-constexpr Milliseconds askPause{5};
-constexpr Milliseconds idleSpan{4000};
+constexpr Milliseconds connectTimeout{1000};
+constexpr Milliseconds readinessPollInterval{5};
+constexpr Milliseconds idleDuration{4000};
 /// Time for all open streams to receive their first events.
-constexpr Milliseconds settleSpan{1500};
+constexpr Milliseconds settleTime{1500};
 /// Slowdown factor of upstreams at which streams stay open for the whole measurement.
-constexpr double heldOpen = 400.0;
+constexpr double heldOpenSlowdown = 400.0;
 /// Concurrent calls in the measurements of CPU time.
-constexpr std::size_t width = 8;
+constexpr std::size_t maxConcurrentCalls = 8;
 
 /// CPU time and resident memory of a process according to /proc.
-struct Weight
+struct ResourceUsage
 {
     double cpuMilliseconds = 0.0;
     double residentMegabytes = 0.0;
 };
 
-Weight weightOf(pid_t process)
+ResourceUsage resourceUsageOf(pid_t process)
 {
     std::ifstream stat(fmt::format("/proc/{}/stat", process));
     std::string text;
@@ -74,20 +74,20 @@
     double system = 0.0;
     fields >> user >> system;
     std::ifstream memory(fmt::format("/proc/{}/statm", process));
-    double whole = 0.0;
+    double total = 0.0;
     double resident = 0.0;
-    memory >> whole >> resident;
+    memory >> total >> resident;
     constexpr double megabyte = 1024.0 * 1024.0;
     return {(user + system) * 1000.0 / static_cast<double>(sysconf(_SC_CLK_TCK)),
             resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / megabyte};
 }
 
 /// Measures one router process between a simulated store, upstreams and callers.
-class WeightBench
+class RouterBenchmark
 {
 public:
-    WeightBench(const std::string &program, const std::filesystem::path &directory,
-                const std::string &logLevel)
+    RouterBenchmark(const std::string &program, const std::filesystem::path &directory,
+                    const std::string &logLevel)
         : router(program, (directory / "router.json").string(), (directory / "router.log").string())
         , store(this->context, this->clock, at(storeHost, storePort), 1)
     {
@@ -117,36 +117,36 @@
     {
         nlohmann::ordered_json result;
         result["readyMilliseconds"] = this->startRouter().count();
-        Weight before = this->weight();
-        this->pass(idleSpan);
-        Weight after = this->weight();
+        ResourceUsage before = this->resourceUsage();
+        this->runFor(idleDuration);
+        ResourceUsage after = this->resourceUsage();
         result["idleCoreShare"] = (after.cpuMilliseconds - before.cpuMilliseconds)
-                                  / static_cast<double>(idleSpan.count());
+                                  / static_cast<double>(idleDuration.count());
         result["idleMegabytes"] = after.residentMegabytes;
 
         before = after;
         this->setSlowness(0.0);
-        this->callMany("/safe/x", requests);
-        after = this->weight();
+        this->makeCalls("/safe/x", requests);
+        after = this->resourceUsage();
         const double perRequest =
             (after.cpuMilliseconds - before.cpuMilliseconds) / static_cast<double>(requests);
         result["cpuMillisecondsARequest"] = perRequest;
 
         before = after;
-        this->pieces = 0;
-        this->callMany("/stream/x", requests);
-        after = this->weight();
+        this->receivedChunks = 0;
+        this->makeCalls("/stream/x", requests);
+        after = this->resourceUsage();
         result["cpuMillisecondsAnEvent"] = (after.cpuMilliseconds - before.cpuMilliseconds
                                             - perRequest * static_cast<double>(requests))
-                                           / static_cast<double>(this->pieces);
+                                           / static_cast<double>(this->receivedChunks);
 
-        this->setSlowness(heldOpen);
+        this->setSlowness(heldOpenSlowdown);
         for (std::size_t i = 0; i < streams; ++i) {
             this->call("/stream/x", [] {});
         }
-        this->pass(settleSpan);
+        this->runFor(settleTime);
         result["openStreams"] = streams;
-        result["megabytesWithStreams"] = this->weight().residentMegabytes;
+        result["megabytesWithStreams"] = this->resourceUsage().residentMegabytes;
         return result;
     }
 
@@ -154,8 +154,9 @@
     static Endpoint at(std::size_t host, std::uint16_t port)
     {
         // Each process uses its own subnet, so that several can run in parallel.
-        constexpr int nets = 250;
-        return {fmt::format("127.{}.{}.{}", 1 + getpid() / nets % nets, 1 + getpid() % nets, host),
+        constexpr int subnetsPerOctet = 250;
+        return {fmt::format("127.{}.{}.{}", 1 + getpid() / subnetsPerOctet % subnetsPerOctet,
+                            1 + getpid() % subnetsPerOctet, host),
                 port};
     }
 
@@ -166,15 +167,18 @@
         }
     }
 
-    void pass(Milliseconds span)
+    void runFor(Milliseconds span)
     {
-        bool isOver = false;
+        bool isFinished = false;
         asio::steady_timer timer(this->context, span);
-        timer.async_wait([&isOver](const asio::error_code &) { isOver = true; });
-        this->runUntil([&isOver] { return isOver; });
+        timer.async_wait([&isFinished](const asio::error_code &) { isFinished = true; });
+        this->runUntil([&isFinished] { return isFinished; });
     }
 
-    [[nodiscard]] Weight weight() const { return weightOf(this->router.processId()); }
+    [[nodiscard]] ResourceUsage resourceUsage() const
+    {
+        return resourceUsageOf(this->router.processId());
+    }
 
     void setSlowness(double slowness)
     {
@@ -187,37 +191,38 @@
 
     Milliseconds startRouter()
     {
-        const TimePoint begin = this->clock.now();
+        const TimePoint startTime = this->clock.now();
         this->router.start();
         int status = 0;
         constexpr int statusOk = 200;
         while (status != statusOk) {
-            this->pass(askPause);
-            bool isOver = false;
+            this->runFor(readinessPollInterval);
+            bool isFinished = false;
             const auto connection =
                 std::make_shared<gateway::UpstreamConnection>(this->context, this->clock);
-            connection->connectAndSend(at(routerHost, readinessPort), connectLimit,
-                                       "GET /readiness HTTP/1.1\r\nHost: h\r\n\r\n",
-                                       {[&status](const gateway::MessageHead &head) {
-                                            status = head.status;
-                                            return true;
-                                        },
-                                        [](std::string_view) {},
-                                        [&isOver](gateway::ResponseOutcome) { isOver = true; }});
-            this->runUntil([&isOver] { return isOver; });
+            connection->connectAndSend(
+                at(routerHost, readinessPort), connectTimeout,
+                "GET /readiness HTTP/1.1\r\nHost: h\r\n\r\n",
+                {[&status](const gateway::MessageHead &head) {
+                     status = head.status;
+                     return true;
+                 },
+                 [](std::string_view) {},
+                 [&isFinished](gateway::ResponseOutcome) { isFinished = true; }});
+            this->runUntil([&isFinished] { return isFinished; });
             connection->abort();
         }
-        return std::chrono::duration_cast<Milliseconds>(this->clock.now() - begin);
+        return std::chrono::duration_cast<Milliseconds>(this->clock.now() - startTime);
     }
 
     void call(const std::string &path, std::function<void()> done)
     {
-        constexpr int budget = 60'000;
+        constexpr int timeBudgetMilliseconds = 60'000;
         const std::string bytes =
             fmt::format("POST {} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a{}\r\n"
                         "X-Time-Budget: {}\r\nAuthorization: Bearer key-0\r\n"
                         "Content-Length: 4\r\n\r\nbody",
-                        path, ++this->lastAttempt, budget);
+                        path, ++this->lastAttempt, timeBudgetMilliseconds);
         std::shared_ptr<gateway::UpstreamConnection> connection;
         if (!this->idle.empty()) {
             connection = std::move(this->idle.back());
@@ -229,7 +234,7 @@
         }
         gateway::ResponseHandlers events{
             [](const gateway::MessageHead &) { return true; },
-            [this](std::string_view) { ++this->pieces; },
+            [this](std::string_view) { ++this->receivedChunks; },
             [this, connection, done = std::move(done)](gateway::ResponseOutcome) {
                 if (connection->isReusable()) {
                     this->idle.push_back(connection);
@@ -237,7 +242,7 @@
                 done();
             }};
         if (isNew) {
-            connection->connectAndSend(at(routerHost, callersPort), connectLimit, bytes,
+            connection->connectAndSend(at(routerHost, callersPort), connectTimeout, bytes,
                                        std::move(events));
         } else {
             connection->send(bytes, std::move(events));
@@ -245,20 +250,20 @@
     }
 
     /// Makes \a count calls, at most maxConcurrentCalls at a time.
-    void callMany(const std::string &path, std::size_t count)
+    void makeCalls(const std::string &path, std::size_t count)
     {
-        std::size_t begun = 0;
+        std::size_t started = 0;
         std::size_t ended = 0;
         std::function<void()> next = [&] {
-            if (begun < count) {
-                ++begun;
+            if (started < count) {
+                ++started;
                 this->call(path, [&] {
                     ++ended;
                     next();
                 });
             }
         };
-        for (std::size_t i = 0; i < width; ++i) {
+        for (std::size_t i = 0; i < maxConcurrentCalls; ++i) {
             next();
         }
         this->runUntil([&] { return ended == count; });
@@ -272,7 +277,7 @@
     std::vector<std::unique_ptr<SoakUpstream>> upstreams;
     std::vector<std::shared_ptr<gateway::UpstreamConnection>> idle;
     std::uint64_t lastAttempt = 0;
-    std::size_t pieces = 0;
+    std::size_t receivedChunks = 0;
 };
 
 int run(int argc, char **argv)
@@ -282,9 +287,9 @@
     std::string logLevel = "info";
     std::size_t streams = 300;
     std::size_t requests = 4000;
-    options::options_description described(
+    options::options_description description(
         "plantain-weight: measures start time, CPU time and memory of a router; prints JSON");
-    described.add_options()("help", "show this text")(
+    description.add_options()("help", "show this text")(
         "program", options::value(&program)->required(),
         "path of plantaind")("directory", options::value(&directory)->required(),
                              "existing directory for the router's settings and log")(
@@ -294,15 +299,15 @@
         "concurrently open streams in the memory measurement")(
         "requests", options::value(&requests)->default_value(requests),
         "requests, and as many streams, in the CPU time measurement");
-    options::variables_map given;
-    options::store(options::parse_command_line(argc, argv, described), given);
-    if (given.count("help") > 0) {
-        std::cout << described << "\n";
+    options::variables_map variables;
+    options::store(options::parse_command_line(argc, argv, description), variables);
+    if (variables.count("help") > 0) {
+        std::cout << description << "\n";
         return exitOk;
     }
-    options::notify(given);
+    options::notify(variables);
     std::signal(SIGPIPE, SIG_IGN);
-    WeightBench bench(program, directory, logLevel);
+    RouterBenchmark bench(program, directory, logLevel);
     std::cout << bench.measure(streams, requests).dump(2) << std::endl;
     return exitOk;
 }
--- a/tests/soakhistory.cpp
+++ b/tests/soakhistory.cpp
@@ -58,7 +58,7 @@
     }
 
     /// \returns the names of the failed checks, without consecutive duplicates.
-    [[nodiscard]] std::vector<std::string> broken() const
+    [[nodiscard]] std::vector<std::string> failedChecks() const
     {
         std::vector<std::string> checks;
         for (const Violation &violation : checkHistory(this->history, SoakBounds{})) {
@@ -78,13 +78,13 @@
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_allPromisesKept_findsNothing", "[soak]")
 {
-    CHECK(this->broken().empty());
+    CHECK(this->failedChecks().empty());
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_answerOfAnotherCall_isFound", "[soak]")
 {
     this->history.calls[1].body = responseBodyFor("a1");
-    CHECK(this->broken() == Checks{"own-answer"});
+    CHECK(this->failedChecks() == Checks{"own-answer"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_streamWithoutAPiece_isFound", "[soak]")
@@ -93,35 +93,35 @@
     CallRecord &call = this->history.calls[2];
     call.body = streamEventFor("a3", 1) + streamEventFor("a3", 3);
     call.outcome = CallOutcome::Truncated;
-    CHECK(this->broken() == Checks{"own-answer"});
+    CHECK(this->failedChecks() == Checks{"own-answer"});
     call.body = streamEventFor("a3", 1) + streamEventFor("a3", 2);
-    CHECK(this->broken().empty());
+    CHECK(this->failedChecks().empty());
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_cutAnswerThatLooksWhole_isFound", "[soak]")
 {
     this->history.calls[0].body.pop_back();
-    CHECK(this->broken() == Checks{"own-answer"});
+    CHECK(this->failedChecks() == Checks{"own-answer"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_answerWithoutARun_isFound", "[soak]")
 {
     this->history.runs.erase(this->history.runs.begin());
-    CHECK(this->broken() == Checks{"own-answer"});
+    CHECK(this->failedChecks() == Checks{"own-answer"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_onceCallRanTwice_isFound", "[soak]")
 {
     this->addRun("a1", SoakTime{20'040});
-    CHECK(this->broken() == Checks{"at-most-once"});
+    CHECK(this->failedChecks() == Checks{"at-most-once"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_refusedCallHasRun_isFound", "[soak]")
 {
     this->history.calls[0].status = 503;
-    CHECK(this->broken() == Checks{"true-refusal", "calm"});
+    CHECK(this->failedChecks() == Checks{"true-refusal", "calm"});
     this->history.runs.front().isRejected = true;
-    CHECK(this->broken() == Checks{"calm"});
+    CHECK(this->failedChecks() == Checks{"calm"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_repeatsWithoutEnd_areFound", "[soak]")
@@ -129,20 +129,20 @@
     for (int i = 0; i < 3; ++i) {
         this->addRun("a2", SoakTime{20'030});
     }
-    CHECK(this->broken() == Checks{"most-runs"});
+    CHECK(this->failedChecks() == Checks{"most-runs"});
     for (int i = 0; i < 70; ++i) {
         this->addRun("a2", SoakTime{20'030});
     }
-    CHECK(this->broken() == Checks{"most-runs", "retry-budget"});
+    CHECK(this->failedChecks() == Checks{"most-runs", "retry-budget"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_leavingUpstreamGetsWork_isFoundUnlessHarmed",
                  "[soak]")
 {
     this->history.drainingSince["u-0"] = SoakTime{10'000};
-    CHECK(this->broken() == Checks{"draining"});
+    CHECK(this->failedChecks() == Checks{"draining"});
     this->history.storeFaults.push_back({SoakTime{12'000}, SoakTime{13'000}});
-    CHECK(this->broken().empty());
+    CHECK(this->failedChecks().empty());
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_configurationGoesBack_isFound", "[soak]")
@@ -151,17 +151,17 @@
     CallRecord &later = this->add("b2", CallKind::Idempotent, {}, SoakTime{2000});
     later.routeVersion = 5;
     later.status = 404;
-    CHECK(this->broken() == Checks{"no-return"});
+    CHECK(this->failedChecks() == Checks{"no-return"});
     later.incarnation = 1;
-    CHECK(this->broken().empty());
+    CHECK(this->failedChecks().empty());
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_revokedKeyOpensMuchLater_isFound", "[soak]")
 {
     this->history.calls[1].key = "key-5";
-    CHECK(this->broken() == Checks{"in-force"});
+    CHECK(this->failedChecks() == Checks{"in-force"});
     this->history.routerFaults[0].push_back({SoakTime{18'000}, SoakTime{19'000}});
-    CHECK(this->broken().empty());
+    CHECK(this->failedChecks().empty());
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_staleLongAfterASilentStore_isFound", "[soak]")
@@ -169,14 +169,14 @@
     // Guards against a fault just before an edit exempting a router from the check for ever.
     this->history.calls[1].key = "key-5";
     this->history.storeFaults.push_back({SoakTime{500}, SoakTime{900}});
-    CHECK(this->broken() == Checks{"in-force"});
+    CHECK(this->failedChecks() == Checks{"in-force"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_goodKeyRefused_isFound", "[soak]")
 {
     this->history.calls[1].status = 401;
     this->history.faultFreeFrom = SoakTime{50'000};
-    CHECK(this->broken() == Checks{"known"});
+    CHECK(this->failedChecks() == Checks{"known"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_plannedStopCutsACall_isFoundUnlessHarmed",
@@ -186,16 +186,16 @@
     this->history.calls[0].outcome = CallOutcome::Truncated;
     this->history.calls[0].status = 0;
     this->history.plannedStops[0].push_back(SoakTime{20'020});
-    CHECK(this->broken() == Checks{"planned-stop"});
+    CHECK(this->failedChecks() == Checks{"planned-stop"});
     this->history.upstreamFaults.push_back({SoakTime{19'000}, SoakTime{19'500}});
-    CHECK(this->broken().empty());
+    CHECK(this->failedChecks().empty());
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_workForACallerThatLeft_isFound", "[soak]")
 {
     this->history.calls[0].outcome = CallOutcome::Abandoned;
     this->history.runs.front().endedAt = SoakTime{30'000};
-    CHECK(this->broken() == Checks{"after-leaving"});
+    CHECK(this->failedChecks() == Checks{"after-leaving"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_crashingRequestGoesOn_isFound", "[soak]")
@@ -205,13 +205,13 @@
         call.poisonId = "poison-1";
         call.status = 502;
     }
-    CHECK(this->broken() == Checks{"crasher"});
+    CHECK(this->failedChecks() == Checks{"crasher"});
 }
 
 TEST_CASE_METHOD(SoakHistoryFixture, "soakHistory_processEndsByItself_isFound", "[soak]")
 {
     this->history.unexpectedExits.emplace_back("router 0 ended with signal 11");
-    CHECK(this->broken() == Checks{"own-end"});
+    CHECK(this->failedChecks() == Checks{"own-end"});
 }
 
 TEST_CASE("soakPlan_sameSeed_givesTheSameSteps", "[soak]")
--- a/tests/support/gatewayfixture.cpp
+++ b/tests/support/gatewayfixture.cpp
@@ -20,10 +20,10 @@
 
 constexpr std::size_t readSize = 4096;
 /// Timeout for an expected event. Only a failing test waits this long.
-constexpr std::chrono::seconds patience{20};
-constexpr std::chrono::milliseconds lookPause{5};
+constexpr std::chrono::seconds eventTimeout{20};
+constexpr std::chrono::milliseconds pollInterval{5};
 
-std::string routingDocument(std::uint64_t version)
+std::string makeRoutingDocument(std::uint64_t version)
 {
     const auto route = [](const std::string &name, const std::string &kind,
                           const std::string &service, bool resumable) {
@@ -51,7 +51,7 @@
         .dump();
 }
 
-std::string objectOf(const std::string &name, const std::string &document)
+std::string storeObject(const std::string &name, const std::string &document)
 {
     return fmt::format(R"({{"metadata":{{"name":"{}","rev":1}},"spec":{}}})", name, document);
 }
@@ -63,7 +63,7 @@
     return std::chrono::milliseconds{std::stoi(target.substr(target.find(field) + field.size()))};
 }
 
-std::string plainAnswer(const std::string &body)
+std::string plainResponse(const std::string &body)
 {
     return fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body);
 }
@@ -72,22 +72,22 @@
 
 std::optional<ReceivedRequest> ServerConnection::read()
 {
-    ReceivedRequest seen;
+    ReceivedRequest received;
     MessageParser parser(MessageKind::Request, 1 << 20,
-                         {[&seen](MessageHead head) { seen.head = std::move(head); },
-                          [&seen](std::string_view bytes) { seen.body.append(bytes); }});
-    ParseState reached = parser.feed(this->buffered);
+                         {[&received](MessageHead head) { received.head = std::move(head); },
+                          [&received](std::string_view bytes) { received.body.append(bytes); }});
+    ParseState parseState = parser.feed(this->buffered);
     this->buffered.clear();
     std::array<char, readSize> buffer{};
-    while (reached == ParseState::Incomplete) {
+    while (parseState == ParseState::Incomplete) {
         asio::error_code error;
         const std::size_t size = this->socket.read_some(asio::buffer(buffer), error);
         if (error) {
             return std::nullopt;
         }
-        reached = parser.feed({buffer.data(), size});
+        parseState = parser.feed({buffer.data(), size});
     }
-    return reached == ParseState::Complete ? std::optional(seen) : std::nullopt;
+    return parseState == ParseState::Complete ? std::optional(received) : std::nullopt;
 }
 
 void ServerConnection::send(std::string_view bytes)
@@ -180,8 +180,8 @@
             const std::lock_guard lock(this->mutex);
             this->open.push_back(waker);
         }
-        this->scriptThreads.emplace_back([this, waker, taken = std::move(socket)]() mutable {
-            ServerConnection connection(std::move(taken));
+        this->scriptThreads.emplace_back([this, waker, peerSocket = std::move(socket)]() mutable {
+            ServerConnection connection(std::move(peerSocket));
             this->script(connection);
             const std::lock_guard lock(this->mutex);
             asio::error_code ignored;
@@ -239,7 +239,7 @@
                                {"zone", "hall-a"},   {"version", "v1"},
                                {"slots", 4},         {"state", "ready"},
                                {"coldLeftMs", 0},    {"sequence", 1}};
-    this->replicaItems += (this->replicaItems.empty() ? "" : ",") + objectOf(id, entry.dump());
+    this->replicaItems += (this->replicaItems.empty() ? "" : ",") + storeObject(id, entry.dump());
 }
 
 void GatewayFixture::serveStore(ServerConnection &connection)
@@ -254,17 +254,17 @@
                 connection.waitForEnd();
                 return;
             }
-            connection.send(plainAnswer(R"({"events":[],"asOf":5})"));
+            connection.send(plainResponse(R"({"events":[],"asOf":5})"));
             continue;
         }
         const bool isRouting = target.starts_with("/objects/config");
         const bool isReplicas = target.starts_with("/objects/servers");
         this->listCount += isReplicas ? 1 : 0;
-        const std::string items = isRouting
-                                      ? objectOf("main", routingDocument(this->routingVersion))
-                                  : isReplicas ? this->replicaItems
-                                               : std::string();
-        connection.send(plainAnswer(R"({"items":[)" + items + R"(],"hasMore":false,"asOf":5})"));
+        const std::string items =
+            isRouting    ? storeObject("main", makeRoutingDocument(this->routingVersion))
+            : isReplicas ? this->replicaItems
+                         : std::string();
+        connection.send(plainResponse(R"({"items":[)" + items + R"(],"hasMore":false,"asOf":5})"));
     }
 }
 
@@ -307,7 +307,7 @@
             asio::error_code error;
             socket.send_to(asio::buffer(datagram.SerializeAsString()),
                            {asio::ip::make_address(to.host), to.port}, 0, error);
-            std::this_thread::sleep_for(lookPause);
+            std::this_thread::sleep_for(pollInterval);
         }
     });
     eventually([this, id] {
@@ -331,32 +331,32 @@
 asio::ip::tcp::socket GatewayFixture::connectCaller()
 {
     asio::ip::tcp::socket socket(this->callerContext);
-    const Endpoint at = this->gateway->callerEndpoint();
-    socket.connect({asio::ip::make_address(at.host), at.port});
+    const Endpoint endpoint = this->gateway->callerEndpoint();
+    socket.connect({asio::ip::make_address(endpoint.host), endpoint.port});
     return socket;
 }
 
 ReceivedResponse GatewayFixture::readResponse(asio::ip::tcp::socket &socket)
 {
-    ReceivedResponse seen;
+    ReceivedResponse received;
     MessageParser parser(MessageKind::Response, 1 << 20,
-                         {[&seen](MessageHead head) {
-                              seen.status = head.status;
-                              seen.fields = std::move(head.fields);
+                         {[&received](MessageHead head) {
+                              received.status = head.status;
+                              received.fields = std::move(head.fields);
                           },
-                          [&seen](std::string_view bytes) { seen.body.append(bytes); }});
+                          [&received](std::string_view bytes) { received.body.append(bytes); }});
     std::array<char, readSize> buffer{};
-    ParseState reached = ParseState::Incomplete;
-    while (reached == ParseState::Incomplete) {
+    ParseState parseState = ParseState::Incomplete;
+    while (parseState == ParseState::Incomplete) {
         asio::error_code error;
         const std::size_t size = socket.read_some(asio::buffer(buffer), error);
         if (error) {
-            return seen;
+            return received;
         }
-        reached = parser.feed({buffer.data(), size});
+        parseState = parser.feed({buffer.data(), size});
     }
-    seen.isComplete = reached == ParseState::Complete;
-    return seen;
+    received.isComplete = parseState == ParseState::Complete;
+    return received;
 }
 
 std::uint64_t GatewayFixture::appliedConfigVersion()
@@ -380,9 +380,9 @@
 ReceivedResponse GatewayFixture::getInternalPage(const std::string &path)
 {
     asio::ip::tcp::socket socket(this->callerContext);
-    const Endpoint at = this->gateway->readinessEndpoint();
+    const Endpoint endpoint = this->gateway->readinessEndpoint();
     asio::error_code error;
-    socket.connect({asio::ip::make_address(at.host), at.port}, error);
+    socket.connect({asio::ip::make_address(endpoint.host), endpoint.port}, error);
     asio::write(socket, asio::buffer(fmt::format("GET {} HTTP/1.1\r\n\r\n", path)), error);
     return readResponse(socket);
 }
@@ -394,12 +394,12 @@
 
 bool GatewayFixture::eventually(const std::function<bool()> &condition)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + eventTimeout;
     while (std::chrono::steady_clock::now() < end) {
         if (condition()) {
             return true;
         }
-        std::this_thread::sleep_for(lookPause);
+        std::this_thread::sleep_for(pollInterval);
     }
     return condition();
 }
--- a/tests/versionhistory.cpp
+++ b/tests/versionhistory.cpp
@@ -9,16 +9,16 @@
 
 constexpr RecordedTime bound = 5s;
 constexpr AcceptedEdit edit{7, 1s};
-const std::vector<VersionObservation> goodHistory{{0, 6, 0s}, {1, 6, 0s}, {0, 7, 2s},
-                                                  {1, 6, 3s}, {1, 9, 6s}, {0, 9, 7s}};
+const std::vector<VersionObservation> validHistory{{0, 6, 0s}, {1, 6, 0s}, {0, 7, 2s},
+                                                   {1, 6, 3s}, {1, 9, 6s}, {0, 9, 7s}};
 
 } // namespace
 
 TEST_CASE("versionHistory_goodRecording_passes", "[versionhistory]")
 {
-    CHECK_FALSE(checkVersionsMonotonic(goodHistory));
-    CHECK_FALSE(checkInForceWithin(goodHistory, edit, 2, bound));
-    CHECK(propagationTime(goodHistory, edit, 0) == RecordedTime{1s});
+    CHECK_FALSE(checkVersionsMonotonic(validHistory));
+    CHECK_FALSE(checkInForceWithin(validHistory, edit, 2, bound));
+    CHECK(propagationTime(validHistory, edit, 0) == RecordedTime{1s});
 }
 
 TEST_CASE("versionHistory_brokenRecordings_areCaught", "[versionhistory]")
--- a/tests/wholepath.cpp
+++ b/tests/wholepath.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr std::uint16_t ownPorts = 25000;
+constexpr std::uint16_t basePort = 25000;
 
 class WholePathFixture
 {
 protected:
     WholePathFixture()
-        : fleet(lowtherDeployment(ownPorts, 3))
+        : fleet(lowtherDeployment(basePort, 3))
     {
         REQUIRE(this->fleet.start());
     }
--- a/tests/writerchoice.cpp
+++ b/tests/writerchoice.cpp
@@ -17,14 +17,14 @@
 protected:
     ClaimRouteStep step(std::uint64_t own = self)
     {
-        return nextClaimRouteStep(this->route, this->silent, this->writers, own, this->limits,
-                                  this->now);
+        return nextClaimRouteStep(this->route, this->silentWriters, this->writers, own,
+                                  this->limits, this->now);
     }
 
     /// Leaves the request unacknowledged until a writer is skipped.
-    ClaimRouteStep untilPassedOver()
+    ClaimRouteStep stepUntilSkipped()
     {
-        for (int ask = 0; ask < this->limits.maxUnacknowledged; ++ask) {
+        for (int attempt = 0; attempt < this->limits.maxUnacknowledged; ++attempt) {
             static_cast<void>(this->step());
         }
         return this->step();
@@ -33,15 +33,15 @@
     WriterLimits limits{3, 2, Milliseconds{100}, Milliseconds{250}, Milliseconds{2000}, 2};
     std::vector<std::uint64_t> writers{1, 2, 3};
     ClaimRoute route;
-    SilentWriters silent;
+    SilentWriters silentWriters;
     TimePoint now{Seconds{1}};
 };
 
-std::vector<WriterCandidate> fleetOf(std::uint64_t routers, std::uint64_t places)
+std::vector<WriterCandidate> fleetOf(std::uint64_t routers, std::uint64_t dataCentres)
 {
     std::vector<WriterCandidate> members;
     for (std::uint64_t id = 1; id <= routers; ++id) {
-        members.push_back({hashOf("router", id), "place-" + std::to_string(id % places)});
+        members.push_back({hashOf("router", id), "place-" + std::to_string(id % dataCentres)});
     }
     return members;
 }
@@ -74,7 +74,7 @@
 TEST_CASE_METHOD(WriterChoiceFixture, "ask_silentWriters_goesToTheNextThenIsWrittenHere",
                  "[claims]")
 {
-    const ClaimRouteStep second = this->untilPassedOver();
+    const ClaimRouteStep second = this->stepUntilSkipped();
     CHECK(second.silentWriter == 1);
     CHECK(second.action == ClaimRouteAction::Send);
     CHECK(second.writer == 1);
@@ -90,7 +90,7 @@
 TEST_CASE_METHOD(WriterChoiceFixture, "ask_rememberedSilentWriter_isPassedOverUntilItsTime",
                  "[claims]")
 {
-    static_cast<void>(this->untilPassedOver());
+    static_cast<void>(this->stepUntilSkipped());
     this->route = {};
     CHECK(this->step().writer == 1);
     this->route = {};
@@ -100,11 +100,11 @@
 
 TEST_CASE_METHOD(WriterChoiceFixture, "ask_acknowledged_staysWithItsWriter", "[claims]")
 {
-    for (int ask = 0; ask < 10; ++ask) {
+    for (int attempt = 0; attempt < 10; ++attempt) {
         const ClaimRouteStep sent = this->step();
         CHECK(sent.action == ClaimRouteAction::Send);
         CHECK(sent.writer == 0);
-        recordWriterAck(this->route, this->silent);
+        recordWriterAck(this->route, this->silentWriters);
     }
 }
 
