--- a/daemon/membershipservice.h
+++ b/daemon/membershipservice.h
@@ -23,7 +23,7 @@
 
     /// Joins the fleet and starts the protocol timer.
     /// \param handler called on the transport's strand
-    void start(PeerDiffersHandler differing);
+    void start(PeerDiffersHandler handler);
     /// Sends this router's state to its peers at once, for example when it starts to stop.
     void announceState();
     /// Announces that this process leaves. \a done runs after the datagrams were handed to the
--- a/daemon/slotclient.h
+++ b/daemon/slotclient.h
@@ -77,7 +77,7 @@
         std::unique_ptr<asio::steady_timer> timer;
         int sendCount = 0;
         std::shared_ptr<const SlotRequirements> requirements;
-        /// The keeper is this router.
+        /// The coordinator is this router.
         bool local = false;
         bool queued = false;
     };
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -123,7 +123,7 @@
     std::unordered_map<std::uint64_t, std::shared_ptr<RequestHandler>> exchanges;
     bool wasReady = false;
     PauseDetector pauseDetector;
-    /// When a router that is connected to the store was last heard of.
+    /// When a message last arrived from a router that is connected to the store.
     TimePoint watcherLastSeen;
     TimePoint startedAt;
     bool isRegistered = false;
--- a/include/plantainswitch/routing/preferencelist.h
+++ b/include/plantainswitch/routing/preferencelist.h
@@ -25,12 +25,13 @@
 
 /// \returns whether \a state may get new work: it isn't draining, is reachable and, if \a
 /// ejectionInForce, isn't ejected.
-[[nodiscard]] bool isEligible(const UpstreamState &state, bool ejectionHolds,
+[[nodiscard]] bool isEligible(const UpstreamState &state, bool ejectionInForce,
                               TimePoint now) noexcept;
 
 /// \returns the preference list of the prefix with hash \a key over the eligible ones of \a
 /// candidates.
 [[nodiscard]] PreferenceList preferenceListOf(std::span<UpstreamState *const> candidates,
-                                              std::uint64_t key, bool ejectionHolds, TimePoint now);
+                                              std::uint64_t key, bool ejectionInForce,
+                                              TimePoint now);
 
 } // namespace plantainswitch
--- a/include/plantainswitch/routing/prefixindex.h
+++ b/include/plantainswitch/routing/prefixindex.h
@@ -42,7 +42,7 @@
     void recordSharedUse(std::uint64_t prefix, std::uint64_t incarnation, TimePoint usedAt);
     /// \returns the shared prefixes used within cacheResidency, the most recent \a limit ones,
     /// newest first.
-    [[nodiscard]] std::vector<PrefixUse> recentSharedUses(std::size_t most, TimePoint now) const;
+    [[nodiscard]] std::vector<PrefixUse> recentSharedUses(std::size_t limit, TimePoint now) const;
     /// \returns the number of leading prompt parts that \a incarnation has used within
     /// cacheResidency. A prefix hash covers all parts up to its own, so the last one used stands
     /// for those before it.
--- a/src/membership/swimgossip.h
+++ b/src/membership/swimgossip.h
@@ -37,7 +37,7 @@
     bool crossDataCentre = false;
 };
 
-/// Sends \a news at once to a few members, and what concerns other data centres to a few members
+/// Sends \a updates at once to a few members, and what concerns other data centres to a few members
 /// there.
 void sendGossip(SwimState &state, const SwimSettings &settings,
                 const std::vector<GossipUpdate> &updates, SwimOutput &output);
--- a/src/routing/preferencelist.cpp
+++ b/src/routing/preferencelist.cpp
@@ -9,19 +9,19 @@
 
 namespace plantainswitch {
 
-bool isEligible(const UpstreamState &state, bool ejectionHolds, TimePoint now) noexcept
+bool isEligible(const UpstreamState &state, bool ejectionInForce, TimePoint now) noexcept
 {
     return !state.replica.draining && connectFailureCount(state.health, now) == 0
-           && !(ejectionHolds && isEjected(state.health, now));
+           && !(ejectionInForce && isEjected(state.health, now));
 }
 
 PreferenceList preferenceListOf(std::span<UpstreamState *const> candidates, std::uint64_t key,
-                                bool ejectionHolds, TimePoint now)
+                                bool ejectionInForce, TimePoint now)
 {
     std::vector<std::pair<double, std::size_t>> scores;
     scores.reserve(candidates.size());
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        if (isEligible(*candidates[i], ejectionHolds, now)) {
+        if (isEligible(*candidates[i], ejectionInForce, now)) {
             const Candidate engine{hashOf(candidates[i]->replica.id), 1.0};
             scores.emplace_back(rendezvousScore(key, engine), i);
         }
--- a/tests/claimlog.cpp
+++ b/tests/claimlog.cpp
@@ -31,7 +31,7 @@
     return steps;
 }
 
-/// \returns how many of a hundred seeds violate a guarantee under \a breakage.
+/// \returns how many of a hundred seeds violate a guarantee under \a injectedFault.
 std::size_t violations(InjectedFault injectedFault)
 {
     std::size_t found = 0;
--- a/tests/fleetmembers.cpp
+++ b/tests/fleetmembers.cpp
@@ -58,7 +58,7 @@
                 {"messages", {{{"role", "user"}, {"content", "hello"}}}}};
     }
 
-    /// Requests long responses from half of the routers, starts a platform outage and calls \a end
+    /// Requests long responses from half of the routers, starts a platform outage and calls \a stop
     /// for each of these routers while they are relaying. \returns how many responses were
     /// complete.
     template<typename End>
--- a/tests/limitsfleet.cpp
+++ b/tests/limitsfleet.cpp
@@ -68,9 +68,9 @@
 
 TEST_CASE("limits_surgeOverAllRouters_staysWithinStatedFactor", "[limitsfleet]")
 {
-    // Guards against routers admitting more than limitFactor times a workspace's limit in sum. A
-    // workspace with 20 requests a second calls three routers as fast as it can, and each sees only
-    // a third.
+    // Guards against routers admitting more than maxOvershootFactor times a workspace's limit in
+    // sum. A workspace with 20 requests a second calls three routers as fast as it can, and each
+    // sees only a third.
     Fleet fleet(limitedDeployment());
     REQUIRE(fleet.startAndConverge());
     constexpr int calls = 250;
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -67,7 +67,7 @@
     /// Makes the store unavailable and removes all upstream entries, as when their leases expire
     /// during an outage; the upstreams register again some time after it.
     void expireRegistrations(const FaultStep &step);
-    /// Ends an upstream as a crash does: its address refuses connections for \a down.
+    /// Ends an upstream as a crash does: its address refuses connections for \a downtime.
     void crashUpstream(std::size_t index, Milliseconds downtime);
     /// Registers a replacement, marks the upstream as draining and later removes it.
     void drainUpstream(std::size_t index);
