--- a/net/httpserver.cpp
+++ b/net/httpserver.cpp
@@ -81,6 +81,7 @@
     {}
 
     // RESTinio calls the listener by this name.
+    // NOLINTNEXTLINE(readability-identifier-naming)
     void state_changed(const restinio::connection_state::notice_t &notice) noexcept
     {
         if (std::holds_alternative<restinio::connection_state::closed_t>(notice.cause())) {
@@ -104,6 +105,7 @@
 struct ServerTraits : public restinio::default_traits_t
 {
     // RESTinio looks the type up by this name.
+    // NOLINTNEXTLINE(readability-identifier-naming)
     using connection_state_listener_t = ConnectionListener;
 };
 
