--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -114,32 +114,27 @@
 int run(int argc, char **argv)
 {
     Arguments arguments;
-    SoakOptions &soakOptions = arguments.options;
+    SoakOptions &soak = arguments.options;
     std::string logs;
     std::string plan;
     std::uint64_t seeds = 1;
     options::options_description description(
-        "plantain-soak: injects faults around router processes and checks what callers and "
-        "upstreams observe");
+        "plantain-soak: injects faults around routers, checks what callers and upstreams see");
     description.add_options()("help", "show this text")(
         "program", options::value(&arguments.program)->required(),
         "path of plantaind")("logs", options::value(&logs)->default_value("soak-logs"),
                              "directory for settings and logs; kept for seeds that fail")(
-        "seed", options::value(&soakOptions.seed)->default_value(soakOptions.seed),
-        "first seed")("seeds", options::value(&seeds)->default_value(seeds),
-                      "number of consecutive seeds to run")(
-        "seconds",
-        options::value(&soakOptions.faultSeconds)->default_value(soakOptions.faultSeconds),
+        "seed", options::value(&soak.seed)->default_value(soak.seed), "first seed")(
+        "seeds", options::value(&seeds)->default_value(seeds), "number of seeds to run")(
+        "seconds", options::value(&soak.faultSeconds)->default_value(soak.faultSeconds),
         "seconds in which faults are injected; about 20 without faults follow")(
-        "routers", options::value(&soakOptions.routers)->default_value(soakOptions.routers),
-        "number of routers")(
-        "upstreams", options::value(&soakOptions.upstreams)->default_value(soakOptions.upstreams),
-        "number of upstreams")(
-        "callers", options::value(&soakOptions.callers)->default_value(soakOptions.callers),
-        "callers")("pause",
-                   options::value(&soakOptions.meanFaultIntervalSeconds)
-                       ->default_value(soakOptions.meanFaultIntervalSeconds),
-                   "mean time between two faults, in seconds")(
+        "routers", options::value(&soak.routers)->default_value(soak.routers), "routers")(
+        "upstreams", options::value(&soak.upstreams)->default_value(soak.upstreams),
+        "upstreams")("callers", options::value(&soak.callers)->default_value(soak.callers),
+                     "callers")("pause",
+                                options::value(&soak.meanFaultIntervalSeconds)
+                                    ->default_value(soak.meanFaultIntervalSeconds),
+                                "mean time between two faults, in seconds")(
         "plan", options::value(&plan),
         "file with the faults to inject instead of those generated from the seed")(
         "keep", "keep the logs of seeds that pass too");
@@ -155,8 +150,7 @@
         std::cerr << error.what() << "\n";
         return exitBadInput;
     }
-    if (soakOptions.routers == 0 || soakOptions.upstreams == 0
-        || soakOptions.meanFaultIntervalSeconds <= 0.0) {
+    if (soak.routers == 0 || soak.upstreams == 0 || soak.meanFaultIntervalSeconds <= 0.0) {
         std::cerr << "--routers, --upstreams and --pause must be above 0\n";
         return exitBadInput;
     }
@@ -172,7 +166,7 @@
     std::uint64_t failed = 0;
     for (std::uint64_t i = 0; i < seeds; ++i) {
         failed += runSeed(arguments) ? 0 : 1;
-        ++soakOptions.seed;
+        ++soak.seed;
     }
     std::cout << seeds - failed << " of " << seeds << " seeds passed" << std::endl;
     return failed == 0 ? exitOk : exitViolations;
