--- a/scripts/sanitize.sh
+++ b/scripts/sanitize.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the whole test suite under AddressSanitizer with UndefinedBehaviorSanitizer, and the tests
-# of what several threads share under ThreadSanitizer.
+# Runs all tests under AddressSanitizer and UndefinedBehaviorSanitizer, and the tests of data shared
+# between threads under ThreadSanitizer.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake -S . -B build-asan -G Ninja -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS_DEBUG="-g -O1" \
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds, runs all tests, closes with CTest's summary. Tests that
-# KNOWN-RED.txt names run first and are printed; only the others decide.
+# Installs missing packages, builds, runs all tests and ends with CTest's summary. Tests listed in
+# KNOWN-RED.txt run first; their failures are printed but ignored.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/packages.sh
--- a/scripts/varydeployment.sh
+++ b/scripts/varydeployment.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
-# Derives a deployment of our own from a site file, by other engines, links and workspaces.
+# Derives a variation of a deployment from its site file, with other engines, links or workspaces.
 # Usage: varydeployment.sh SITE-FILE VARIATION > NEW-FILE
 # Variations: slow, slow-b, small-memory, thin-links, small-plain, many-workspaces.
 set -euo pipefail
 site=${1:?a site file is needed}
 variation=${2:?a variation is needed}
 
-# Sets a figure of the engines.
+# Sets parameter $1 of the engines to $2.
 engine() { edits+=(-e "/llm = {/s/\b$1 = [0-9.]*/$1 = $2/"); }
 # Sets the number of engines in the three data centres.
 engines() {
     edits+=(-e "/llm = {/s/\(servers = \[{[^}]*count = \)[0-9]*\([^}]*}, {[^}]*count = \)[0-9]*\([^}]*}, {[^}]*count = \)[0-9]*/\1$1\2$2\3$3/")
 }
-# Adds to the seed of each day.
+# Appends digit $1 to the seed of each day.
 seeds() { edits+=(-e "s/^seed = \([0-9]*\)$/seed = \1$1/"); }
 
 edits=()
--- a/scripts/wirenames.sh
+++ b/scripts/wirenames.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Checks that names of the users' platform stand in platform/ alone: elsewhere the code speaks the
-# project's own words, so that another platform needs another folder and nothing else. Takes the
-# folder of a checkout, this one by default; tests/wirenames.sh shows that it fails on a stray name.
+# Checks that headers, JSON keys and paths of the platform's API occur only in platform/, so that
+# another platform needs only another translation layer there. Takes the directory of a checkout, this
+# one by default. tests/wirenames.sh tests that it detects such a name elsewhere.
 set -euo pipefail
 cd "${1:-$(dirname "$0")/..}"
 names='X-(Attempt-Id|Time-Budget|Prompt-Prefix|Token-Count|Model|Tenant|Expect-Instance|Server-Stamp'
@@ -10,7 +10,7 @@
 names+='|asOf|hasMore|afterRev|waitMs|coldLeftMs|draining|non_idempotent)"|/objects/(config|servers)|fleetbench'
 if grep -rInE "$names" --include='*.cpp' --include='*.h' --include='*.proto' \
     include src daemon gateway net ctl lab proto/peer.proto; then
-    echo "names of the platform outside platform/" >&2
+    echo "names of the platform's API outside platform/: translate them there" >&2
     exit 1
 fi
-echo "names of the platform stand in platform/ alone"
+echo "no names of the platform's API outside platform/"
--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -8,7 +8,8 @@
 {
     timespec since{};
     if (clock_gettime(CLOCK_BOOTTIME, &since) != 0) {
-        // A kernel without that clock: no pause of the VM is found, nothing else depends on it.
+        // Kernel without CLOCK_BOOTTIME. Pauses of the VM are not detected then; nothing else
+        // depends on it.
         return this->now().time_since_epoch();
     }
     return Seconds{since.tv_sec} + Duration{since.tv_nsec};
--- a/src/base/fields.cpp
+++ b/src/base/fields.cpp
@@ -58,7 +58,7 @@
 
 void FieldReader::fault(std::string_view name, const nlohmann::json &found, std::string allowed)
 {
-    // A token must never reach a log or a terminal, not even inside a complaint about it.
+    // A token must never reach a log or a terminal, not even inside a fault about it.
     const std::string shown = name == "token" ? "(hidden)" : excerpt(found);
     this->faults.push_back({this->pathOf(name), shown, std::move(allowed)});
 }
--- a/src/catalogue/parse.cpp
+++ b/src/catalogue/parse.cpp
@@ -23,11 +23,12 @@
 constexpr std::uint32_t mostShards = 256;
 constexpr std::uint32_t mostQueueMilliseconds = 60'000;
 constexpr std::uint32_t mostLoadsAtOnce = 1000;
-/// At 100 no engine could ever be ordered.
+/// At 100 no engine could ever receive an order.
 constexpr std::uint32_t mostReadyPercent = 99;
 constexpr std::uint32_t mostStaleSeconds = 7 * 24 * 3600;
 
-/// Reads a document without building it, for what a finished document no longer shows.
+/// Scans a document for what the parsed document no longer shows: duplicate fields and excessive
+/// depth.
 class DocumentCheck final : public nlohmann::json_sax<nlohmann::json>
 {
 public:
--- a/src/catalogue/table.cpp
+++ b/src/catalogue/table.cpp
@@ -103,7 +103,7 @@
         ++taken;
         next->version = std::max(next->version, entry.version);
         if (entry.unreadableText && !entry.body) {
-            // The last version that could be read stays in force until this one is mended.
+            // The last version that could be parsed stays in force until this one is corrected.
             known.key = entry.key;
             known.version = entry.version;
             known.unreadableText = entry.unreadableText;
--- a/src/claims/entrycodec.h
+++ b/src/claims/entrycodec.h
@@ -8,18 +8,18 @@
 
 namespace plantainswitch {
 
-/// What the store holds at one position of the log.
+/// Stored form of one position of the log.
 struct BatchRecord
 {
     std::uint64_t position = 0;
-    /// The writer's own, by which it recognises its write when the answer was lost.
+    /// Lets the writer recognise its own write after a lost response.
     std::string nonce;
-    /// Wall time in milliseconds; never falls along the log.
+    /// Wall-clock time in milliseconds; never decreases along the log.
     std::uint64_t time = 0;
     std::vector<ClaimLogEntry> entries;
 };
 
-/// What the store holds for a run of positions.
+/// Stored form of a range of positions.
 struct SegmentRecord
 {
     std::uint64_t number = 0;
--- a/src/claims/log.cpp
+++ b/src/claims/log.cpp
@@ -12,8 +12,8 @@
 
 std::uint64_t ringSize(const ClaimLog &log) noexcept
 {
-    // Twice a segment: a position is written over only after the segment that holds it is known
-    // to be written, since the segment before last always is.
+    // Twice a segment: a position is overwritten only after the segment that holds it is known to
+    // be written, since the segment before the last one always is.
     return 2 * log.limits.positionsPerSegment;
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// Takes the entries of the next position in.
+/// Applies the entries of the next position.
 void advance(ClaimLog &log, const std::vector<ClaimLogEntry> &entries, std::uint64_t time)
 {
     for (const ClaimLogEntry &entry : entries) {
@@ -85,7 +85,7 @@
            && log.sealedSegmentCount < log.nextPosition / log.limits.positionsPerSegment;
 }
 
-/// Keeps the entries since the last segment as a segment, and forgets the oldest one.
+/// Seals the entries since the last segment as a segment, and forgets the oldest one.
 void keepSegment(ClaimLog &log)
 {
     log.segments.push_back({std::move(log.unsealedEntries), log.lastTime});
@@ -156,8 +156,8 @@
     log.pendingWrite = std::move(next);
 }
 
-/// Finishes the load of segments: takes them in by number, or starts over when they are not one
-/// row, as then somebody wrote meanwhile or a read was old.
+/// Finishes loading segments: applies them in order, or starts over when they are not contiguous,
+/// because then another writer wrote meanwhile or a read was stale.
 void takeLoadedSegments(ClaimLog &log)
 {
     if (log.loadedSegments.empty()) {
@@ -200,7 +200,7 @@
     }
 }
 
-/// Takes what a ring object holds where the next position is looked for.
+/// Handles the content of the ring object in which the next position is expected.
 void takePosition(ClaimLog &log, const StoreResponse &answer, TimePoint now)
 {
     const auto record = decodeBatch(answer.body);
@@ -257,7 +257,7 @@
     return log.contendedUntil && now < *log.contendedUntil;
 }
 
-/// Sets when the next position may be tried.
+/// Sets when the next position may be attempted.
 void awaitPace(ClaimLog &log, TimePoint now)
 {
     log.nextWriteAt =
@@ -294,8 +294,8 @@
         log.pendingWrite->call.ifVersion = answer.version;
         return;
     }
-    // Here a lost answer is recognised: what holds the position has this batch's own nonce and
-    // so its own entries. Another writer's batch is read and gone on after.
+    // Recognises a lost response: an object with this batch's own nonce holds its own entries.
+    // Another writer's batch is read, and this one continues after it.
     const bool own = present->nonce == written->nonce;
     log.pendingWrite.reset();
     if (own) {
@@ -318,8 +318,9 @@
     }
     log.pendingWrite->mayHaveTakenEffect =
         log.pendingWrite->mayHaveTakenEffect || answer.outcome == StoreOutcome::Unknown;
-    // A batch that can't have reached the store is made anew, without those who gave up. One that
-    // may have is sent again as it is, until the store says what holds its position.
+    // A batch that can't have reached the store is rebuilt without the requests given up meanwhile.
+    // One that may have reached it is sent again unchanged until the store says what holds its
+    // position.
     if (!log.pendingWrite->mayHaveTakenEffect) {
         log.pendingWrite.reset();
     }
@@ -330,8 +331,9 @@
     return !log.syncedAt || now - *log.syncedAt > log.limits.maxViewAge;
 }
 
-/// Whether the view was brought up to date since the pace allowed the next try. Two writers that
-/// each try at what they hold for the next position lose every other try; a read is cheaper.
+/// Whether the view was refreshed since the write interval last allowed an attempt. Two writers
+/// that each write at what they believe to be the next position lose every other attempt; a read is
+/// cheaper.
 bool isCheckedForOthers(const ClaimLog &log, TimePoint now)
 {
     return !isContended(log, now) || *log.syncedAt >= log.nextWriteAt;
@@ -430,7 +432,7 @@
                 {claim.nonce, own ? ClaimVerdict::Granted : ClaimVerdict::Taken, held->second});
             return true;
         }
-        // What is on its way to the store may be written yet, and is not expired then.
+        // A claim in a pending write may still be written, and is not expired then.
         if (!log.pendingWrite && isExpired(log, waiting.request)) {
             replies.push_back({claim.nonce, ClaimVerdict::Expired, {}});
             return true;
--- a/src/claims/writerchoice.cpp
+++ b/src/claims/writerchoice.cpp
@@ -22,7 +22,7 @@
     return found != silent.end() && now < found->second;
 }
 
-/// Gives up the writer asked last once it left too many asks unheard.
+/// Gives up the writer tried last after too many unacknowledged requests.
 /// \returns its id, or 0 when it is not given up
 std::uint64_t passOver(ClaimRoute &route, SilentWriters &silent, const WriterLimits &limits,
                        TimePoint now)
@@ -38,8 +38,8 @@
     return given;
 }
 
-/// Chooses the next writer: the one that acknowledged the ask, else the first that is neither
-/// done with nor silent. \returns its index, or the number of writers
+/// Selects the next writer: the current one, else the first that is neither tried nor unresponsive.
+/// \returns its index, or the number of writers
 std::size_t chooseWriter(const ClaimRoute &route, const SilentWriters &silent,
                          const std::vector<std::uint64_t> &writers, TimePoint now)
 {
--- a/src/limits/fairqueue.cpp
+++ b/src/limits/fairqueue.cpp
@@ -33,8 +33,8 @@
     return best;
 }
 
-/// A flow without waiting asks is kept only while its virtual time is ahead: forgetting it
-/// earlier would let a workspace start afresh each time its queue runs empty.
+/// Drops flows without waiting requests whose virtual time has passed. Dropping them earlier would
+/// let a workspace start afresh each time its queue becomes empty.
 void forgetPassedFlows(FairQueue &queue)
 {
     if (queue.length == 0) {
@@ -113,7 +113,7 @@
         }
     }
     const double turns = static_cast<double>(ahead + 1) * weights / weight;
-    // Never more turns than there are asks: small queues of others end before ours does.
+    // Never more turns than there are requests: shorter queues of others end first.
     const double most = static_cast<double>(queue.length + 1);
     return std::chrono::duration_cast<Duration>(*queue.slotInterval * std::min(turns, most));
 }
--- a/src/limits/shares.cpp
+++ b/src/limits/shares.cpp
@@ -10,16 +10,17 @@
 constexpr int longestRetrySeconds = 60;
 /// Weight of the latest period in the smoothed rate.
 constexpr double smoothing = 0.5;
-/// Part of its share above which a router reports at once instead of at half the lease.
+/// Fraction of its share above which a router reports at once instead of at half the lease.
 constexpr double shortShare = 0.7;
 /// Multiple of the wanted rate below which a share counts as scarce: others may want it.
 constexpr double ampleShare = 2.0;
-/// Most that a router gets, as a multiple of what it wants, unless its even part is more. The
-/// first to report would otherwise get all, and the others nothing until it reports again.
+/// Maximum allocation of a router as a multiple of what it wants, unless its even part is more.
+/// Otherwise the first to report would get everything, and the others nothing until it reports
+/// again.
 constexpr double mostShare = 4.0;
-/// Part of the rate that was reported below which a scarce share is given back early.
+/// Fraction of the reported rate below which a scarce share is returned early.
 constexpr double fallenRate = 0.5;
-/// Smaller shares are left to lapse; giving them back costs more than they are worth.
+/// Smaller shares are left to expire; returning them costs more than it gains.
 constexpr double worthGivingBack = 1.0;
 
 double secondsOf(Duration duration) noexcept
@@ -71,7 +72,7 @@
     std::erase_if(owned.shares, [now](const auto &item) { return now >= item.second.expiresAt; });
 }
 
-/// One quantity of a limit as it is divided: the rate or the number in flight.
+/// Inputs of the division of one quantity: the rate or the number in flight.
 struct Division
 {
     double limit = 0;
@@ -206,7 +207,7 @@
         return false;
     }
     local.share = share;
-    // Counted from the report: the owner counts from its later arrival and so lets go last.
+    // Counted from the report: the owner counts from its later arrival, so its expiry comes last.
     local.shareExpiresAt = *local.reportedAt + settings.leaseDuration;
     return true;
 }
@@ -216,7 +217,7 @@
                                         std::uint32_t sequence, const FleetSize &fleet,
                                         const ShareSettings &settings, TimePoint now)
 {
-    // An owner that heard nothing for a lease may have been replaced in between.
+    // An owner that got no report for a lease may have been replaced in between.
     if (!owned.ownerSince || now - owned.lastReportAt > settings.leaseDuration) {
         owned.ownerSince = now;
     }
--- a/src/limits/table.cpp
+++ b/src/limits/table.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A forgotten workspace starts with a full least burst again; forgetting late keeps what that
-/// lets through far below any limit.
+/// A dropped workspace starts with a full minimum burst again. Dropping it late keeps the requests
+/// that this admits far below any limit.
 constexpr Duration idleMemory = std::chrono::hours{1};
 
 } // namespace
--- a/src/membership/freshness.cpp
+++ b/src/membership/freshness.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-/// Confirmations within the bound. One of them is for a time-out, the update to the other routers
-/// and their lists.
+/// Confirmations within the bound. The time of one of them is left for a timeout and for the update
+/// of the other routers and their lists.
 constexpr std::int64_t confirmationsInBound = 2;
 constexpr std::int64_t gatherPausesInBound = 12;
-/// A standby that the first watcher's loss finds in its pause is informed well within the bound.
+/// Keeps a standby within the bound if the first watcher fails during the standby's delay.
 constexpr std::int64_t standbyPauses = 2;
-/// An answer takes a few milliseconds; a small machine may be late by some hundred.
+/// A response takes a few milliseconds; a small VM may delay it by a few hundred.
 constexpr Milliseconds minTimeout{400};
 constexpr Milliseconds maxTimeout{2500};
 constexpr std::uint32_t maxDoublings = 2;
 constexpr Milliseconds minRetryPause{250};
 constexpr Milliseconds maxRetryPause{1000};
-/// Time for the confirmer's answer to reach the other routers.
+/// Time for the confirmer's response to reach the other routers.
 constexpr Milliseconds updateDelay{300};
 constexpr Milliseconds rankStep{100};
 constexpr std::size_t maxRank = 10;
@@ -37,7 +37,7 @@
 
 void AdaptiveTimeout::recordResponse(Duration took) noexcept
 {
-    // Follows a slower platform at once and a faster one gradually.
+    // Adapts to a slower platform at once and to a faster one gradually.
     this->smoothed = std::max(took, (this->smoothed + took) / 2);
     this->timeouts = 0;
 }
@@ -55,7 +55,7 @@
     const std::uint32_t doublings = std::min(std::max(failures, 1U) - 1, maxDoublings);
     const Milliseconds pause = std::min(minRetryPause * (1 << doublings), maxRetryPause);
     const auto spread = static_cast<std::int64_t>(seed % static_cast<std::uint64_t>(pause.count()));
-    // Between a half and the whole of it.
+    // Between half of the delay and all of it.
     return (pause + Milliseconds{spread}) / 2;
 }
 
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// \returns what a snapshot shows of a member.
+/// \returns the fields of a member that a snapshot holds.
 Heartbeat lasting(const Heartbeat &member)
 {
     Heartbeat result;
@@ -42,7 +42,7 @@
     return !own.id.empty() && !own.leaving;
 }
 
-/// \returns the member of that id if it is to be listed as active.
+/// \returns the member with that id if it is active, else null.
 const Heartbeat *activeOf(const SwimState &state, const std::string &id)
 {
     if (id == state.own.id) {
@@ -78,7 +78,7 @@
 {
     const RankedLock lock(this->mutex);
     SwimOutput output = swimReceive(this->state, this->settings, message, from, now);
-    // Nobody else than whom the message names can have changed by it.
+    // Only members named in the message can have changed.
     this->invalidateSnapshotIfChanged(message.sender.id);
     for (const MemberUpdate &update : message.updates) {
         this->invalidateSnapshotIfChanged(update.member.id);
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -17,7 +17,7 @@
 constexpr std::array stateNames{std::string_view{"alive"}, std::string_view{"suspect"},
                                 std::string_view{"gone"}};
 
-/// Members in one State message, so that it stays below the longest datagram.
+/// Members in one JoinReply message, which keeps it below the longest datagram.
 constexpr std::size_t membersInState = 10;
 
 void answerNewcomer(SwimState &state, const Endpoint &to, SwimOutput &output)
@@ -126,7 +126,7 @@
     for (const Member *member : sampleMembers(state, true, settings.localFanout, "")) {
         targets.insert(member->heartbeat.datagramEndpoint);
     }
-    // The first watcher writes down who has what in force.
+    // The first watcher records which version is in force on which router.
     for (const Heartbeat &first :
          watchersOf(state.own.dataCentre, activeMembersIn(state, state.own.dataCentre), 1)) {
         targets.insert(first.datagramEndpoint);
--- a/src/membership/swimgossip.cpp
+++ b/src/membership/swimgossip.cpp
@@ -33,8 +33,9 @@
     return result;
 }
 
-/// Takes what is said of this router itself. A wrong rumour that it is gone would take its
-/// keeper work away while it serves; a higher refutation wins over the rumour everywhere.
+/// Handles an update about this router itself. A false rumour that it is gone would take its
+/// coordinator role away while it serves; a higher refutation number overrides the rumour
+/// everywhere.
 void refute(SwimState &state, const SwimSettings &settings, const MemberUpdate &update,
             std::vector<GossipUpdate> &news)
 {
@@ -157,7 +158,7 @@
     reportChange(known, update, output);
     Member next{update.member, update.state, now};
     if (known != nullptr && known->heartbeat.incarnation == update.member.incarnation) {
-        // Rumours are older than what the member itself said of its versions.
+        // Gossiped versions may be older than those the member sent itself.
         next.heartbeat.catalogueVersion =
             std::max(known->heartbeat.catalogueVersion, update.member.catalogueVersion);
         next.heartbeat.vmListVersion =
@@ -178,8 +179,8 @@
     }
     const bool elsewhere = update.member.dataCentre != state.own.dataCentre;
     if (elsewhere && update.state == MemberState::Suspect) {
-        // Its denial stays in its place, so that whoever took the suspicion in would find the
-        // member gone although it has answered.
+        // Refutations don't leave their data centre. A router elsewhere that accepted the suspicion
+        // would declare the member gone although it has refuted.
         return;
     }
     const auto known = state.members.find(update.member.id);
@@ -209,7 +210,7 @@
     }
     Member &member = found->second;
     if (member.state == MemberState::Gone || member.heartbeat.refutation > from.refutation) {
-        // It is alive, but the others have heard that it is gone: it has to contradict.
+        // The sender is alive, but others have been told that it is gone: it has to refute.
         SwimMessage told = makeMessage(state, settings, SwimKind::Gossip, 0);
         told.updates = {{member.heartbeat, member.state}};
         output.sends.push_back({from.datagramEndpoint, std::move(told)});
--- a/src/membership/vmlist.cpp
+++ b/src/membership/vmlist.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Gone lines older than this against the newest line are forgotten.
+/// Gone records older than the newest version by more than this are forgotten.
 constexpr std::uint64_t goneMilliseconds = 3'600'000;
 
 std::uint32_t hashOfLine(const VmRecord &line) noexcept
@@ -27,7 +27,7 @@
     return polled * 2 < static_cast<std::size_t>(live) && polls.shortPolls < minShortPolls;
 }
 
-/// \returns whether the line \a id, which differs from the shared list, is to be taken.
+/// \returns whether the VM \a id, which differs from the shared list, is to be accepted.
 bool isSettled(VmPollState &polls, const std::string &id, bool changedHere)
 {
     const bool settled = changedHere || ++polls.differingPolls[id] >= minDifferingPolls;
@@ -82,8 +82,8 @@
     takeSeen(polls, known, seen, changed);
     if (isShrunk(polls, known, seen.size())) {
         ++polls.shortPolls;
-        // What is missing keeps its place among the previous ones, to be judged when the list
-        // is whole again.
+        // Missing VMs stay among the previous ones and are examined when the list is complete
+        // again.
         for (const auto &[id, vm] : seen) {
             polls.previous[id] = vm;
         }
--- a/src/membership/watchers.cpp
+++ b/src/membership/watchers.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Keeps the choice of watchers independent of the choice of keepers.
+/// Makes the choice of watchers independent of the choice of coordinators.
 constexpr std::uint64_t watchSeed = 0x7761746368657273;
 
 } // namespace
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -54,7 +54,7 @@
                                  std::string_view{"placement_seconds"}};
 constexpr std::string_view prefix = "plantainswitch_";
 constexpr std::size_t errorKinds = static_cast<std::size_t>(ErrorKind::Internal) + 1;
-/// Histogram edges run from 0.1 ms to 100 s, four to a factor of ten.
+/// Histogram edges run from 0.1 ms to 100 s, four per factor of ten.
 constexpr unsigned binCount = 24;
 constexpr double leastSeconds = 1e-4;
 constexpr double mostSeconds = 100.0;
@@ -71,11 +71,12 @@
     TimePoint last;
 };
 
-/// A workspace's series; that of a whole class has no workspace.
+/// Timing, workspace and data class of a series; the series of a whole class has an empty
+/// workspace.
 using SeriesKey = std::tuple<Timing, std::string, std::string>;
 using SeriesMap = std::map<SeriesKey, Series>;
 
-/// Counters of one control kind.
+/// Counters of one kind of control message.
 struct Sent
 {
     std::atomic<std::uint64_t> messages;
@@ -103,7 +104,7 @@
     return isOfClass(key) ? ofClass : "workspace=\"" + workspace + "\"," + ofClass;
 }
 
-/// The upper edges of the bins as scrapers know them.
+/// Upper edges of the bins in the text format of scrapers.
 std::array<std::string, binCount> edgeTexts()
 {
     const Axis axis(binCount, leastSeconds, mostSeconds);
@@ -133,10 +134,10 @@
     appendNumber(page, count);
 }
 
-/// Leaves out the empty buckets below the first sample, but for the one next to it.
-/// A bucket left out reads as absent. Below the first sample that is the same as its 0, also in a
-/// sum over routers or workspaces; above it the sum would lack this series' count and its buckets
-/// would no longer be cumulative, seen as quantiles that are too high. The one empty bucket that
+/// Omits the empty buckets below the first sample, except the one next to it.
+/// An omitted bucket reads as absent. Below the first sample that equals its 0, also in a sum over
+/// routers or workspaces. Above it, the sum would lack this series' count and its buckets would no
+/// longer be cumulative, which shows as quantiles that are too high. The one empty bucket that
 /// stays gives the lower edge of the first filled one.
 void renderSeries(std::string &page, const SeriesKey &key, const Series &series)
 {
@@ -161,7 +162,7 @@
 
 using Chosen = std::vector<const SeriesMap::value_type *>;
 
-/// What of the histograms goes onto one page.
+/// Series selected for one page.
 struct PageChoice
 {
     Chosen series;
@@ -169,8 +170,8 @@
     std::size_t beyondBound = 0;
 };
 
-/// Keeps the busiest of \a active, which all have one timing. The counts only grow, so that the
-/// choice changes seldom from page to page.
+/// Selects the busiest of \a active, which all have the same timing. Counts only grow, so the
+/// selection changes seldom from page to page.
 void keepBusiest(Chosen &active, PageChoice &choice)
 {
     if (active.size() > maxWorkspacesOnPage) {
@@ -244,7 +245,7 @@
     std::array<std::atomic<std::uint64_t>, errorKinds> refusals{};
     SentByKind sent{};
     mutable RankedMutex mutex{LockRank::Metrics};
-    /// Nothing is ever erased: a page in the making points into it.
+    /// Never erased from: a page being rendered points into it.
     SeriesMap series;
 };
 
@@ -331,7 +332,7 @@
             group = name;
             appendType(page, name, "histogram");
         }
-        // One series at a time: requests that record theirs must not wait for a whole page.
+        // Locked per series: requests that record a sample must not wait for a whole page.
         const RankedLock lock(this->state->mutex);
         renderSeries(page, each->first, each->second);
     }
--- a/src/observe/timeline.cpp
+++ b/src/observe/timeline.cpp
@@ -24,7 +24,7 @@
     return number;
 }
 
-/// Takes one quoted value, with its escapes undone, from the start of \a text.
+/// Removes one quoted value from the start of \a text. \returns it unescaped.
 std::string takeQuoted(std::string_view &text)
 {
     std::string value;
@@ -95,7 +95,7 @@
                        [&line](Event event) { return line.event == static_cast<unsigned>(event); });
 }
 
-/// \returns what a line changes the belief in, or an empty text.
+/// \returns the name of the state that a line changes, or an empty text.
 std::string subjectOf(const LogLine &line)
 {
     if (isEvent(line, {Event::Started})) {
@@ -145,7 +145,7 @@
     return {text.data(), static_cast<std::size_t>(std::max(size, 0))};
 }
 
-/// Where a person looks next, by the kind of refusal or the outcome.
+/// What to examine next, by the kind of refusal or the outcome.
 struct Hint
 {
     std::string_view outcome;
@@ -232,7 +232,8 @@
     RequestTimeline told;
     told.steps = this->steps;
     std::stable_sort(told.steps.begin(), told.steps.end(), isEarlier);
-    // By router: until when beliefs matter, and which upstreams the request met.
+    // By router: the time until which state is relevant. Also the upstreams that the request was
+    // sent to.
     std::map<std::string, std::int64_t> ends;
     std::set<std::string> upstreams;
     for (const LogLine &step : told.steps) {
--- a/src/orders/lease.cpp
+++ b/src/orders/lease.cpp
@@ -37,8 +37,8 @@
                    ? LeaseDecision{}
                    : LeaseDecision{LeaseAction::Renew, version};
     }
-    // Our own object without a held lease: a write whose answer was lost, or a lease that lapsed
-    // while we were paused. Nobody else took it, so the condition decides.
+    // This router's own object without a held lease: a write whose response was lost, or a lease
+    // that expired during a pause. Nobody else acquired it, so the condition decides.
     const bool free = version == 0 || watch.observed->holder == self
                       || now - watch.observedSince >= settings.leaseDuration;
     return free ? LeaseDecision{LeaseAction::Acquire, version} : LeaseDecision{};
--- a/src/orders/plan.cpp
+++ b/src/orders/plan.cpp
@@ -30,7 +30,7 @@
     for (std::size_t index = 0; index < engines.size(); ++index) {
         const EngineStatus &engine = engines[index];
         ready += engine.isReachable && !engine.isLoading ? 1 : 0;
-        // An engine that doesn't answer may be loading.
+        // An engine that doesn't respond may be loading.
         loading += !engine.isReachable || engine.isLoading ? 1 : 0;
         if (engine.isReachable && !engine.isLoading && !matchesSetup(engine.setup, wanted.setup)) {
             behind.push_back(index);
--- a/src/placement/chathints.cpp
+++ b/src/placement/chathints.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Appends the hints on up to \a datagrams of the last of \a chats, and removes these from it.
+/// Appends hints on the last of \a chats, up to \a datagrams messages, and removes these chats.
 void takeLast(std::vector<ChatHints> &result, std::vector<std::uint64_t> &chats,
               std::size_t datagrams, bool moved, ShardId shard, const ChatAffinityCache &memory)
 {
@@ -105,8 +105,8 @@
 void applyHints(ChatAffinityCache &memory, const ChatHints &hints, std::size_t capacity)
 {
     for (const ChatHint &hint : hints.chats) {
-        // What was granted here since is newer than another keeper's old knowledge; without this
-        // a chat would go back to an engine whose cache has less of it.
+        // A local grant is newer than another coordinator's older knowledge. Otherwise a chat would
+        // return to an engine whose cache holds less of it.
         if (hints.moved || !memory.peek(hint.chat)) {
             memory.record(hint.chat, hint.upstream, capacity);
         }
--- a/src/placement/coordinator.cpp
+++ b/src/placement/coordinator.cpp
@@ -41,8 +41,8 @@
     return found != state.ejections.end() && found->second.ejectedUntil > now;
 }
 
-/// An engine that failed a request looks empty and would draw the next ones; the asker's list of
-/// engines to avoid is the first sign, long before the platform's list.
+/// Ejects failed engines. An engine that failed looks idle and would attract the next requests. The
+/// request's list of engines to avoid shows the failure long before the platform's list does.
 void shun(ShardState &state, const std::vector<UpstreamId> &failed, TimePoint now)
 {
     for (const UpstreamId id : failed) {
@@ -50,7 +50,7 @@
     }
 }
 
-/// \returns the engines in service: all that are ready but the shunned ones, unless none is left.
+/// \returns all ready engines that are not ejected, or all ready ones if none is left.
 std::vector<UpstreamId> inService(const ShardState &state, const std::vector<UpstreamId> &ready,
                                   TimePoint now)
 {
@@ -75,8 +75,8 @@
     return result;
 }
 
-/// \returns the engines in the order in which the chat prefers them: where it ran last, where it
-/// ran before, then by its hash.
+/// \returns the engines in the chat's order of preference: where it ran last, where it ran before,
+/// then by its hash.
 std::vector<UpstreamId> preferredOrder(const std::optional<ChatLocation> &place,
                                        const SlotRequest &ask,
                                        const std::vector<Candidate> &candidates)
@@ -98,8 +98,8 @@
     return result;
 }
 
-/// The limits on an engine's load at a grant: for a chat's first engine by hash, for an engine
-/// that has its prefix, and for any.
+/// Load limits at a grant: for a chat's first engine by hash, for an engine that has its prefix,
+/// and for any.
 struct Limits
 {
     std::uint32_t unknown = 0;
@@ -140,9 +140,9 @@
     if (rule == EngineSelectionRule::HashOrder) {
         return firstBelow(state, order, limits.hard);
     }
-    // A chat that no engine has cached costs nothing to move: new chats even out the load, so
-    // that returning ones can stay. Where there is room they go by hash, so that the next keeper
-    // finds them without being told.
+    // Moving a chat that no engine has cached costs nothing: new chats even out the load, so that
+    // returning ones can stay. With spare capacity they go by hash, so that the next coordinator
+    // finds them without hints.
     if (place) {
         for (const UpstreamId id : order) {
             const bool cached = id == place->latest || id == place->previous;
@@ -164,8 +164,8 @@
     const double ownMean = static_cast<double>(total) / static_cast<double>(engines);
     for (const auto &[shard, part] : state.peerShards) {
         if (now - part.receivedAt < summaryLifetime) {
-            // The summary is up to a second old. In a surge it would hold the bound down, and
-            // every shard would send its requests to the others.
+            // The summary is up to one second old. Without the correction it would hold the bound
+            // down in a surge, and every shard would overflow to the others.
             const double risen = std::max(0.0, ownMean - part.localMeanAtReceipt) * part.engines;
             total += part.load + static_cast<std::uint64_t>(risen);
             engines += part.engines;
@@ -176,7 +176,7 @@
         settings.loadFactor = std::min(multiple, settings.loadFactor);
         return loadBound(settings, total, engines);
     };
-    // Carefulness touches the promise alone; the inner limits are only preferences.
+    // Only the hard bound is a guarantee and is rounded down; the other limits are preferences.
     const std::uint32_t hard = loadBound(view.settings, total, engines, view.conservative);
     return {std::min(limit(view.settings.newChatLoadFactor), hard),
             std::min(limit(view.settings.affinityLoadFactor), hard), hard};
@@ -202,7 +202,7 @@
     }
     const double mean = static_cast<double>(total + 1) / static_cast<double>(engines);
     const double allowed = settings.loadFactor * mean;
-    // What an even spread needs: without it, small loads would leave no engine to grant.
+    // The load of an even spread. Without it no engine could be granted at small loads.
     const double even = std::floor(static_cast<double>(total) / static_cast<double>(engines)) + 1.0;
     const double rounded = careful ? std::max(even, std::floor(allowed)) : std::ceil(allowed);
     return std::min(static_cast<std::uint32_t>(rounded), settings.capacity);
--- a/src/placement/coordinatortable.cpp
+++ b/src/placement/coordinatortable.cpp
@@ -115,7 +115,7 @@
             ++each;
             continue;
         }
-        // Its chats come back when the keeper changes again, and the slots' end is no end of them.
+        // The chats return when the coordinator changes again, and outlive the slots.
         this->findOrCreateParked(each->first, now).affinity = std::move(each->second.affinity);
         each = this->shards.erase(each);
     }
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -11,10 +11,11 @@
 constexpr std::array verdictNames{std::string_view{"admitted"}, std::string_view{"too-late"},
                                   std::string_view{"overloaded"}};
 
-/// Bounds of the time after which a rejected caller may return.
+/// Bounds of the time after which a rejected caller may retry.
 constexpr double minRetryAfter = 200.0;
 constexpr double maxRetryAfter = 5000.0;
-/// Each further rank returns later by this share, so that the most urgent callers find room first.
+/// Added to the retry time per priority level, as a share of it, so that the most urgent callers
+/// retry first.
 constexpr double rankDelay = 0.5;
 
 double admittedDelay(const AdmissionRequest &request, const AdmissionPolicy &policy)
@@ -25,7 +26,7 @@
     return objectives * static_cast<double>(request.objective.count());
 }
 
-/// \returns the time in which the queue shortens to the objective, spread over as much again.
+/// \returns the time in which the queue shrinks to the objective, multiplied by 1 to 2 as jitter.
 Milliseconds retryAfter(const AdmissionRequest &request)
 {
     constexpr std::uint64_t steps = 1024;
--- a/src/routing/crashquarantine.cpp
+++ b/src/routing/crashquarantine.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// \returns whether two crashes may be one: the request ran on both upstreams when they went down.
+/// \returns whether two crashes may have one cause: the request was running on both upstreams when
+/// they went down.
 bool isOneMoment(const CrashReport &left, const CrashReport &right)
 {
     const bool overlap = left.sentAt < right.brokenAt && right.sentAt < left.brokenAt;
@@ -61,7 +62,8 @@
     }
     suspect.crashes.emplace(report.incarnation, report);
     suspect.lastCrash = std::max(suspect.lastCrash, report.brokenAt);
-    // Within a hold more may be heard of crashes before it; only a try after it says anything new.
+    // During a quarantine, reports of earlier crashes may still arrive; only a trial after it is
+    // new evidence.
     if (suspect.crashes.size() >= quarantineThreshold
         && report.brokenAt >= suspect.quarantinedUntil) {
         suspect.quarantine = suspect.quarantine.count() == 0
@@ -135,7 +137,7 @@
         return true;
     }
     Suspect &suspect = found->second;
-    // A router that missed the word of its being cleared must not hold it back for ever.
+    // A router that missed the report of the success must not quarantine the request indefinitely.
     constexpr int laterByHolds = 2;
     const TimePoint own =
         suspect.quarantinedUntil + (isFirst ? Seconds{0} : laterByHolds * suspect.quarantine);
--- a/src/routing/enginecoordinator.cpp
+++ b/src/routing/enginecoordinator.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Share of a prompt's tokens that belong to parts the engine hasn't read; parts are taken as
-/// alike, since only their number is asked for.
+/// \returns the estimated number of uncached prompt tokens. All parts are assumed to be of equal
+/// size, because the request states only their number.
 double uncachedOf(const EngineGrantRequest &question, std::size_t known)
 {
     if (question.prefixHashes.empty()) {
--- a/src/routing/eventstream.cpp
+++ b/src/routing/eventstream.cpp
@@ -28,7 +28,7 @@
     return std::nullopt;
 }
 
-/// \returns the position behind the first blank line, or npos.
+/// \returns the position after the first blank line at or after \a from, or npos.
 std::size_t eventEnd(std::string_view text, std::size_t from)
 {
     for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
@@ -72,7 +72,7 @@
         begin = end;
     }
     this->partial.erase(0, begin);
-    // The end of an event may begin with the last two bytes.
+    // The last two bytes may be the start of an event's end.
     this->scanned = this->partial.size() > 2 ? this->partial.size() - 2 : 0;
     return this->partial.size() <= maxStreamEventBytes;
 }
--- a/src/routing/fleetretrybudget.cpp
+++ b/src/routing/fleetretrybudget.cpp
@@ -12,7 +12,8 @@
     const auto [found, isNew] = this->accounts.try_emplace(service);
     Account &account = found->second;
     if (isNew) {
-        // Half at once: a window may hold what was saved before it and what it earns.
+        // Half of the share: a window may contain both the tokens saved before it and those earned
+        // in it.
         account = {share / 2.0, now};
         return account;
     }
--- a/src/routing/health.cpp
+++ b/src/routing/health.cpp
@@ -12,7 +12,7 @@
                                 std::string_view{"silent"},      std::string_view{"garbage"},
                                 std::string_view{"failed"},      std::string_view{"full"}};
 
-/// Doublings after which the avoidance has reached its longest.
+/// Doublings after which the ejection time has reached its maximum.
 constexpr std::uint32_t mostDoublings = 6;
 
 double fadingSince(TimePoint then, TimePoint now) noexcept
@@ -33,7 +33,7 @@
     health.updatedAt = now;
 }
 
-/// Takes one more silence into account. \returns whether they are enough.
+/// Adds a timeout to the score. \returns whether the score suffices for an ejection.
 bool raiseSuspicion(UpstreamHealth &health, TimePoint now)
 {
     const double halfLives = std::chrono::duration<double>(now - health.timeoutScoreAt)
@@ -76,7 +76,7 @@
             return;
         }
     }
-    // A single broken answer may be that request's own; being out of reach is not.
+    // A single lost connection may be due to the request itself; an unreachable upstream isn't.
     health.consecutiveDownFaults += 1;
     if (fault == UpstreamFault::ConnectionLost && health.consecutiveDownFaults < 2) {
         return;
--- a/src/routing/prefixindex.cpp
+++ b/src/routing/prefixindex.cpp
@@ -29,7 +29,8 @@
 void PrefixIndex::recordHolder(Holders &readers, std::uint64_t life, TimePoint when)
 {
     if (readers.uses.size() >= pruneThreshold) {
-        // A prefix that all prompts share outlives engine after engine.
+        // A prefix that all prompts share stays in use while its engines are replaced one after the
+        // other.
         std::erase_if(readers.uses,
                       [when](const auto &use) { return when - use.second > cacheResidency; });
     }
@@ -93,7 +94,7 @@
         }
         ages.emplace_back(newest, part);
     }
-    // A quarter at once, so that the scan is rare.
+    // A quarter is evicted at once, so that the scan is rare.
     const auto cut = ages.begin() + static_cast<std::ptrdiff_t>(ages.size() / 4);
     std::nth_element(ages.begin(), cut, ages.end());
     for (auto old = ages.begin(); old != cut; ++old) {
--- a/src/routing/replica.cpp
+++ b/src/routing/replica.cpp
@@ -37,7 +37,8 @@
     Replica &old = known->second;
     const bool reborn = old.startTime != replica.startTime;
     const bool moved = old.endpoint != replica.endpoint || old.service != replica.service;
-    // Within one life leaving is never taken back: a list that lags may still say ready.
+    // Draining is never revoked within an incarnation: a stale list may still show the upstream as
+    // ready.
     replica.draining = replica.draining || (old.draining && !reborn);
     const bool startsLeaving = replica.draining && !old.draining;
     old = replica;
@@ -68,7 +69,7 @@
 std::vector<ReplicaEvent> ReplicaDirectory::markMissing(const std::string &id, TimePoint keepUntil)
 {
     const auto known = this->replicas.find(id);
-    // Who was leaving did not lapse: it is gone.
+    // A draining upstream that is missing has stopped; its lease did not just expire.
     if (known == this->replicas.end() || known->second.draining) {
         return this->remove(id);
     }
@@ -137,7 +138,7 @@
     }
     std::vector<std::string> absent;
     for (const auto &[id, replica] : this->replicas) {
-        // Those that are missing already have their time.
+        // Upstreams that are already missing keep their deadline.
         if (!listed.contains(id) && !this->missing.contains(id)) {
             absent.push_back(id);
         }
--- a/src/routing/routercontacts.cpp
+++ b/src/routing/routercontacts.cpp
@@ -20,11 +20,12 @@
     return std::clamp(std::chrono::duration_cast<Milliseconds>(grown), gossipInterval, longest);
 }
 
-/// Keeps the choice of the confirmer independent of other choices.
+/// Hash key of the confirmer's election, which makes it independent of others.
 constexpr std::uint64_t confirmerKey = 0x636f6e6669726d73;
 
-/// \returns whether \a now lies in a later period than \a last. Periods begin at another moment for
-/// each \a seed: what is due to many routers that were found at once is spread over the period.
+/// \returns whether \a now lies in a later period than \a last. \a seed shifts the start of the
+/// periods, so that updates to many routers that were discovered at once are spread over the
+/// period.
 bool isLaterPeriod(TimePoint last, TimePoint now, Duration period, std::uint64_t seed)
 {
     const Duration offset{static_cast<Duration::rep>(
@@ -135,7 +136,8 @@
 std::vector<UpdateGroup> RouterContacts::takeDueGroups(BroadcastScope wave, TimePoint now)
 {
     const GossipIntervals rhythm = this->gossipIntervals();
-    // Timers fire a little early or late: updates due before half of the next turn go now.
+    // Timers fire slightly early or late: updates due before half of the next interval are sent
+    // now.
     constexpr Milliseconds slack = gossipInterval / 2;
     std::map<TimePoint, std::vector<Endpoint>> groups;
     for (auto &[address, contact] : this->contacts) {
@@ -180,7 +182,7 @@
         }
     }
     std::vector<std::string> gone;
-    // A router that came back at another address isn't gone with the old one.
+    // A router that came back at another address hasn't failed with its old one.
     std::set_difference(failed.begin(), failed.end(), alive.begin(), alive.end(),
                         std::back_inserter(gone));
     return gone;
@@ -207,8 +209,8 @@
 bool RouterContacts::isWatcherAlive(TimePoint now) const
 {
     return std::any_of(this->contacts.begin(), this->contacts.end(), [now](const auto &entry) {
-        // A watcher that died must be missed within a few moments, wherever it is: an edit has to
-        // be in force within two seconds.
+        // The failure of a watcher must be detected within moments in any data centre: an edit has
+        // to be in force within two seconds.
         return entry.second.storeConnected && entry.second.isMember
                && now - entry.second.lastSeen < peerTimeout;
     });
@@ -267,7 +269,7 @@
     const GossipIntervals rhythm = this->gossipIntervals();
     TimePoint latest;
     for (const auto &[address, contact] : this->contacts) {
-        // A router that knows something newer confirms nothing to a router that doesn't.
+        // A router with newer state confirms nothing to one with older state.
         if (this->isAlive(contact, rhythm, now) && contact.*content <= known) {
             latest = std::max(latest, contact.*confirmed);
         }
@@ -291,7 +293,8 @@
                                                       const std::string &enginePlace,
                                                       bool isStopping, TimePoint now) const
 {
-    // Near its engine, so that a data centre that is cut off keeps its own engines' counts.
+    // Prefers routers in the engine's data centre, so that a data centre that is cut off keeps the
+    // counts of its own engines.
     const GossipIntervals rhythm = this->gossipIntervals();
     bool bestNear = enginePlace == this->dataCentre && !isStopping;
     double highest = scoreOf(life, this->id);
@@ -316,8 +319,8 @@
                                                              std::uint64_t turn,
                                                              TimePoint now) const
 {
-    // Each asks another one: were all to ask the same, its thin link would be busy for seconds with
-    // a large configuration. Whoever has got it hands it on.
+    // Each router asks a different one: if all asked the same, its slow link would be busy for
+    // seconds with a large configuration. Every router that has the newer state passes it on.
     const GossipIntervals rhythm = this->gossipIntervals();
     const std::uint64_t key = hashOf(this->id, turn);
     std::optional<Endpoint> best;
--- a/src/routing/selection.cpp
+++ b/src/routing/selection.cpp
@@ -17,7 +17,8 @@
            != request.triedUpstreams.end();
 }
 
-/// \returns the hash by which the request's chain finds its engine: that of all shared parts.
+/// \returns the hash that determines the request's preference list: that of the shared prefix, or
+/// of the whole prompt if it shares none.
 std::uint64_t homeKey(const SelectionRequest &request) noexcept
 {
     const std::uint64_t whole = request.prefixHashes.empty() ? 0 : request.prefixHashes.back();
@@ -39,7 +40,8 @@
     return cached;
 }
 
-/// \returns a delay from 0 to policy.plainSpread that a request without a prompt has there.
+/// \returns a delay from 0 to policy.promptlessJitter, by the hashes of the request and of the
+/// upstream.
 double spreadDelay(const UpstreamState &state, const SelectionRequest &request,
                    const SelectionPolicy &policy)
 {
@@ -54,18 +56,18 @@
     double delay = running * policy.performance.delayPerRunning;
     const double slots = state.replica.maxConcurrency;
     if (slots > 0 && running >= slots) {
-        // With all slots busy, one is freed each holdTime / slots.
+        // If all slots are busy, one is released every slotHoldTime / slots.
         delay += policy.performance.slotHoldTime * (running - slots + 1.0) / slots;
     }
     return delay;
 }
 
-/// What the candidates are like together.
+/// Statistics over all usable candidates.
 struct Survey
 {
-    /// Requests above which an upstream holds more than its share.
+    /// Running requests above which an upstream exceeds its share.
     double bound = 0.0;
-    /// Few enough are avoided that the others can carry their work.
+    /// Few enough are ejected for the others to carry their load.
     bool avoidanceHolds = true;
     double meanFailureShare = 0.0;
     double occupancy = 0.0;
@@ -102,7 +104,7 @@
     return step * std::min(static_cast<double>(place), policy.maxPreferenceSteps);
 }
 
-/// \returns whether an engine that may be used is known to have all shared parts.
+/// \returns whether an eligible engine is known to have the whole shared prefix cached.
 bool isKnownAnywhere(std::span<UpstreamState *const> candidates, const SelectionRequest &request,
                      const PrefixIndex &memory, const Survey &seen, TimePoint now)
 {
@@ -114,7 +116,7 @@
     });
 }
 
-/// Prompt tokens at the start of the request that each candidate is known to have.
+/// \returns the number of leading prompt tokens that each candidate is expected to have cached.
 std::vector<double> cachedAtEach(std::span<UpstreamState *const> candidates,
                                  std::optional<std::size_t> trustedHome,
                                  const SelectionRequest &request, const PrefixIndex &memory,
@@ -127,22 +129,23 @@
     return cached;
 }
 
-/// The engines from which a prompt is best copied, the second one for the first's own sake.
+/// The engines from which a prompt is best transferred; the second one serves the best one itself.
 struct Donors
 {
     std::optional<std::size_t> best;
     std::optional<std::size_t> second;
 };
 
-/// A copy from an engine that is down would hold the request up until its time is over. One that
-/// leaves is as good as any while it is there, and its memory is soon lost.
+/// Excludes engines that are down: a transfer from one would block the request until its timeout. A
+/// draining engine is as good as any while it runs, and its cache will soon be lost.
 bool mayBeCopiedFrom(const UpstreamState &state, const SelectionRequest &request, TimePoint now)
 {
     return !isEjected(state.health, now) && connectFailureCount(state.health, now) == 0
            && !wasTried(state.replica, request);
 }
 
-/// \returns who is known to have most of the prompt, and among equals who comes first in its order.
+/// \returns the engines with the most cached tokens of the prompt; among equals, those that come
+/// first in its preference list.
 Donors donorsOf(std::span<UpstreamState *const> candidates, const std::vector<double> &cached,
                 const PreferenceList &order, const SelectionRequest &request,
                 const SelectionPolicy &policy, TimePoint now)
@@ -166,7 +169,7 @@
     return donors;
 }
 
-/// Takes into \a choice what its engine must read, and what it can copy.
+/// Sets how many prompt tokens the selected engine must prefill and how many it can transfer.
 void weighPrompt(UpstreamSelection &choice, const std::vector<double> &cached, const Donors &donors,
                  const SelectionRequest &request)
 {
@@ -176,8 +179,8 @@
     if (!donor) {
         return;
     }
-    // Also where the engine is taken to have it all: it may have dropped parts that nobody used
-    // for some seconds, and a copy of nothing costs nothing.
+    // Also if the engine is expected to have the whole prompt: it may have evicted parts that were
+    // idle for some seconds, and a transfer of nothing costs nothing.
     choice.transferSource = donor;
     choice.transferredTokens = std::max(0.0, cached[*donor] - known);
     choice.uncachedTokens -= choice.transferredTokens;
@@ -192,8 +195,8 @@
            + choice.transferredTokens / policy.performance.transferRate;
 }
 
-/// A prefill delays the next tokens of all that run beside it, and like a transfer it takes memory
-/// that other prefixes have there.
+/// \returns the cost to other requests: a prefill delays the next tokens of all requests running
+/// beside it, and like a transfer it takes cache space from other prefixes.
 double loadOnOthers(const UpstreamSelection &choice, const UpstreamState &state,
                     const SelectionPolicy &policy)
 {
@@ -215,8 +218,8 @@
                            + choice.extraDelay;
 }
 
-/// The home is compared with the others as if it had the shared parts, so that all routers agree
-/// on it; what it is to do is all of the prompt.
+/// Adds the shared prefix to the estimate of the home. It was compared with the others as if it had
+/// the shared prefix cached, so that all routers select it; its actual work is the whole prompt.
 void addFirstRead(UpstreamSelection &choice, const std::vector<double> &cached,
                   const SelectionRequest &request, const SelectionPolicy &policy)
 {
@@ -229,7 +232,7 @@
                             + transferDelay(choice, policy) - before;
 }
 
-/// Lower classes are only used when no higher one is left.
+/// In order of preference: a class is used only if no candidate is in a better one.
 enum class Fitness : std::uint8_t { Good, OverBound, Avoided, Unreachable, Unusable };
 
 Fitness fitnessOf(const UpstreamState &state, const SelectionRequest &request, const Survey &seen,
@@ -240,8 +243,8 @@
     }
     const std::uint32_t unreachable = connectFailureCount(state.health, now);
     if (unreachable > 0) {
-        // A single lost packet looks the same; after two, a further try costs the caller as much
-        // again and is refused at once instead.
+        // A single lost packet looks the same. After two failures, another attempt would cost the
+        // caller as much again, so the request is rejected at once instead.
         return unreachable == 1 ? Fitness::Unreachable : Fitness::Unusable;
     }
     if (seen.avoidanceHolds && isEjected(state.health, now)) {
@@ -250,13 +253,13 @@
     return runningAt(state) + 1.0 > seen.bound ? Fitness::OverBound : Fitness::Good;
 }
 
-/// What all candidates are compared by.
+/// Inputs to the comparison of all candidates.
 struct Comparison
 {
     Survey seen;
     bool hasPrompt = false;
     PreferenceList order;
-    /// The home is taken to have the shared parts.
+    /// The home is assumed to have the shared prefix cached.
     bool trustsHome = false;
     std::vector<double> cached;
     Donors donors;
@@ -272,9 +275,9 @@
         return result;
     }
     result.order = preferenceListOf(candidates, homeKey(request), result.seen.avoidanceHolds, now);
-    // Where nobody is known to have read the chain, its home is the one that all routers pick, so
-    // that it is read once. Once it is known, engines that have it go first: a home changes when
-    // engines come and go, and what is cached stays where it was.
+    // If no engine is known to have the prefix cached, all routers select its home, so that it is
+    // prefilled once. When it is known, engines that have it are preferred: a home changes as
+    // engines join and leave, but cached prefixes stay where they are.
     result.trustsHome = policy.preferredUpstreams
                         && !isKnownAnywhere(candidates, request, memory, result.seen, now);
     result.cached = cachedAtEach(candidates, result.trustsHome ? result.order.home : std::nullopt,
--- a/src/routing/serviceestimator.cpp
+++ b/src/routing/serviceestimator.cpp
@@ -8,30 +8,31 @@
 namespace {
 
 constexpr double tokenUnit = 1000.0;
-/// Share of older samples that remains after a new one of full weight; some 400 answers count.
+/// Factor by which older samples decay with each new one of full weight, which makes the effective
+/// window about 400 responses.
 constexpr double forgetting = 0.995;
-/// Samples beyond which a router's estimate gets no more weight among the others.
+/// Sample count beyond which a router's estimate gets no more weight.
 constexpr double maxSamples = 200.0;
 /// Weight of the prior among the routers' estimates, in samples.
 constexpr double priorSamples = 4.0;
 /// Standard deviation of one time to first token, in milliseconds.
 constexpr double sampleNoise = 15.0;
-/// Weights of samples above and below the line; their ratio is that of an expectile of 0.2.
+/// Weights of samples above and below the line; their ratio gives an expectile of 0.2.
 constexpr double weightAbove = 0.2;
 constexpr double weightBelow = 0.8;
-/// Distance from the line, as a share of the expected delay, beyond which a sample's pull no longer
-/// grows (Huber's loss).
+/// Distance from the line, as a share of the expected delay, beyond which the influence of a sample
+/// no longer grows (Huber loss).
 constexpr double outlierShare = 0.5;
-/// The same for transfers, whose waiting for a link is part of the estimate.
+/// The same for transfers, whose estimate includes the wait for a link.
 constexpr double transferOutlierShare = 3.0;
-/// Transfers of fewer tokens say nothing of the rate.
+/// Transfers of fewer tokens don't contribute to the estimated rate.
 constexpr double minTransferSample = 256.0;
-/// Estimates stay within this factor of the prior: the slowest engines and links in use are some
+/// Maximum factor between estimates and the prior: the slowest engines and links in use are about
 /// 30 times slower than the fastest.
 constexpr double maxDeviation = 30.0;
-/// Weight of one more value in a running mean.
+/// Weight of a new value in an exponential moving average.
 constexpr double meanWeight = 0.05;
-/// Routers whose reports are kept at once.
+/// Maximum number of routers whose reports are kept.
 constexpr std::size_t maxReports = 64;
 
 double millisecondsOf(Duration span)
@@ -39,7 +40,8 @@
     return std::chrono::duration<double, std::milli>(span).count();
 }
 
-/// \returns \a observed, brought as close to \a expected as the pull of an outlier is limited to.
+/// \returns \a observed, limited to the distance from \a expected at which a sample's influence
+/// stops growing.
 double limitOutlier(double expected, double observed, double share)
 {
     const double limit = std::max(sampleNoise, share * expected);
@@ -70,7 +72,7 @@
             forgetting};
 }
 
-/// Mean of logarithms, so that a rate and its reciprocal give the same.
+/// Weighted geometric mean, which treats a rate and its reciprocal alike.
 class LogarithmicMean
 {
 public:
--- a/src/routing/updatelog.cpp
+++ b/src/routing/updatelog.cpp
@@ -12,7 +12,7 @@
     }
 }
 
-/// Hands the items of \a log since \a since to \a take, the newest first, until it wants no more.
+/// Calls \a take with the items of \a log since \a since, newest first, until it returns false.
 template<typename Log, typename Take>
 void walkSince(const Log &log, TimePoint since, Take take)
 {
--- a/src/upstreams/upstreams.cpp
+++ b/src/upstreams/upstreams.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Start stamp of a VM that a notice named before the list did: no stamp counts as later.
+/// Start stamp of a VM that a notice named before the list did; no stamp counts as later.
 constexpr std::uint64_t unknownLife = std::numeric_limits<std::uint64_t>::max();
 
 bool isNewLife(const Vm &vm, std::uint64_t startedBefore) noexcept
--- a/tests/admission.cpp
+++ b/tests/admission.cpp
@@ -20,7 +20,7 @@
     CHECK(admit(this->request, this->policy).verdict == AdmissionVerdict::Admitted);
 }
 
-// Guards against prefills for callers that leave before their first token.
+// Guards against prefills for callers that give up before their first token.
 TEST_CASE_METHOD(AdmissionFixture, "admission_callerLeavesBeforeFirstToken_rejectsAtOnce",
                  "[routing]")
 {
@@ -30,7 +30,7 @@
     CHECK(admittance.retryAfter > Milliseconds{0});
 }
 
-// Guards against a standing queue in which every request is late.
+// Guards against a standing queue in which every request misses its objective.
 TEST_CASE_METHOD(AdmissionFixture, "admission_overload_rejectsLeastUrgentRanksFirst", "[routing]")
 {
     this->request.expectedDelay = Milliseconds{450};
@@ -46,7 +46,7 @@
     CHECK(admit(this->request, this->policy).verdict == AdmissionVerdict::Admitted);
 }
 
-// Guards against a route without an objective, all of whose requests would count as late.
+// Guards against counting all requests of a route without an objective as late.
 TEST_CASE_METHOD(AdmissionFixture, "admission_noObjectiveStated_rejectsOnlyWhatIsTooLate",
                  "[routing]")
 {
--- a/tests/answerfleet.cpp
+++ b/tests/answerfleet.cpp
@@ -64,8 +64,9 @@
 
 TEST_CASE_METHOD(AnswerFixture, "stream_connectionBreaks_isResumedWhole", "[answers]")
 {
-    // The connection to an engine breaks in the middle of a long answer; the engine goes on and
-    // keeps the stream. The caller must get every event once, in order, up to [DONE].
+    // Guards against lost or repeated events when the connection to an engine breaks in the middle
+    // of a long answer. The engine continues and keeps the stream, so the caller must get every
+    // event once, in order, up to [DONE].
     constexpr std::uint32_t tokens = 200;
     auto answer =
         std::async(std::launch::async, [this] { return this->chat(0, "c", "long", tokens, true); });
@@ -85,9 +86,9 @@
 
 TEST_CASE_METHOD(AnswerFixture, "crashRequest_repeatedAtEveryRouter_isHeldBack", "[suspects]")
 {
-    // One request crashes each engine that runs it; its caller repeats it at every router. Long
-    // chats run on the same engines. The crasher is held back after two crashes wherever it is
-    // sent, and says so truthfully; the long chats are retried and get their answers.
+    // Guards against one request, repeated at every router, crashing engine after engine. It is
+    // quarantined after two crashes wherever it is sent, and its refusal says truthfully whether it
+    // ran. Long chats on the same engines are retried and answered.
     std::vector<std::future<net::HttpResponse>> innocents;
     innocents.reserve(10);
     for (int index = 0; index < 10; ++index) {
@@ -123,7 +124,8 @@
     for (auto &copy : copies) {
         CHECK(copy.get().status != 200);
     }
-    // Each copy that starts before any news may crash one engine, and retry once.
+    // Each copy that starts before its router learns of a crash may crash one engine, and one more
+    // on its retry.
     CHECK(this->crashes() <= 6);
     CHECK(refusalKindOf(this->chat(1, "d", "crash-the-engine", 10, false)) == "quarantined");
 }
@@ -160,9 +162,9 @@
 
 TEST_CASE_METHOD(AnswerFixture, "crashRequest_ofPlainService_holdsBackNoOtherCall", "[suspects]")
 {
-    // A call without a body breaks two upstreams off and is held back. Another call of the same
-    // workspace, to another path and without a body too, is another request: held back with the
-    // first, a whole service would be shut to the workspace for ten minutes.
+    // Guards against quarantining an unrelated call. One call without a body crashes two upstreams
+    // and is quarantined. Another call of the workspace without a body, to another path, must run:
+    // sharing the quarantine would close the whole service to the workspace for ten minutes.
     const auto call = [this](const std::string &path) {
         net::HttpCall wanted;
         wanted.url = "/services/track-app/" + path;
--- a/tests/catalogue.cpp
+++ b/tests/catalogue.cpp
@@ -34,8 +34,8 @@
 
 TEST_CASE_METHOD(CatalogueFixture, "catalogue_olderVersion_isNotTaken", "[catalogue]")
 {
-    // An operator narrows a data class; a router then hears an old list from a lagging peer.
-    // Taking it would serve data in a place that is forbidden by now.
+    // An operator narrows a data class, and a router then receives a stale list from a lagging
+    // peer. Merging it would serve data in a data centre that is forbidden by now.
     const Entry old{{EntryKind::DataClass, "narrow"}, 1, DataClass{"o", {"a"}, 0}};
     CHECK(this->table.merge({old}) == 0);
     CHECK(this->table.view()->dataClasses.at("narrow").dataCentres.front() == "b");
@@ -74,8 +74,8 @@
 
 TEST_CASE_METHOD(CatalogueFixture, "catalogue_tokenChanged_onlyTheNewOneAdmits", "[catalogue]")
 {
-    // The next view shares what the edit leaves alone. A token left behind in it would go on
-    // admitting a caller whose token was changed; a request that holds the old view keeps it.
+    // The next snapshot shares what the edit doesn't change. A token left in it would still
+    // authorize a caller whose token was changed; a request that holds the old snapshot keeps it.
     const auto before = this->table.view();
     Workspace renewed = before->workspaces.at("w");
     renewed.token = "renewed";
--- a/tests/chathints.cpp
+++ b/tests/chathints.cpp
@@ -30,7 +30,7 @@
                             this->view(), true, this->now);
     }
 
-    /// Runs each chat once, away from its first engine. \returns where.
+    /// Runs each chat once, away from its first engine. \returns where each ran.
     std::map<std::uint64_t, UpstreamId> displace(ShardCoordinator &keeper, std::uint64_t chats)
     {
         std::map<std::uint64_t, UpstreamId> result;
@@ -45,7 +45,7 @@
         return result;
     }
 
-    /// \returns how many of the chats run where they ran before.
+    /// \returns how many of the chats run on the same engines as before.
     std::size_t found(ShardCoordinator &keeper, const std::map<std::uint64_t, UpstreamId> &places)
     {
         std::size_t count = 0;
@@ -56,7 +56,7 @@
         return count;
     }
 
-    /// Carries a second's hints of \a from to \a to, when they are for it.
+    /// Delivers one second's hints from \a from to \a to, if addressed to it.
     void carry(ShardCoordinator &from, const Heartbeat &sender, ShardCoordinator &to,
                const Heartbeat &target)
     {
@@ -84,8 +84,8 @@
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_keeperDies_nextOneFindsChatsAtTheirEngines",
                  "[chathints]")
 {
-    // Chats run away from their first engine, whose caches hold nothing of them. Then the keeper
-    // dies without a word. The next one has been told each second; by hash it would find none.
+    // Chats run away from their first engines, whose caches hold none of them, and the coordinator
+    // dies. The next one has received hints every second; by hash it would find no chat.
     const auto places = this->displace(this->keeper, 40);
     this->carry(this->keeper, this->members[0], this->next, this->members[1]);
     CHECK(this->found(this->next, places) == places.size());
@@ -106,8 +106,8 @@
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_routerJoinsAsKeeper_isToldWithinSeconds",
                  "[chathints]")
 {
-    // A router joins that comes first in the shard's order. The keeper before it has told another
-    // one until now; it notices a target that knows nothing, and tells its memory in parts.
+    // A router joins that comes first in the shard's order. The coordinator before it has sent
+    // hints to another router until now; it detects the new target and sends it all chats in parts.
     const auto places = this->displace(this->keeper, 400);
     const Heartbeat joined = this->members.front();
     this->members.erase(this->members.begin());
@@ -121,8 +121,8 @@
 
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_twoKeepers_eachTellsTheOther", "[chathints]")
 {
-    // The second keeper's members miss the first one, so that it would tell a third router. It
-    // hears the first one's hints and tells it in return.
+    // The second coordinator doesn't know the first one as a member and would send its hints to a
+    // third router. It receives the first one's hints and replies with its own.
     this->displace(this->keeper, 2);
     const auto places = this->displace(this->next, 5);
     this->carry(this->keeper, this->members[0], this->next, this->members[1]);
@@ -147,8 +147,8 @@
 TEST_CASE_METHOD(ChatHintsFixture, "chatHints_anyHostileHints_neverLeadOutsideShardOrBound",
                  "[chathints]")
 {
-    // Hints name engines that are gone, that stand in another place or are full already. The
-    // caller's chat still runs on a ready engine of the shard, within the bound.
+    // Hints name engines that are gone, in another data centre, or at their bound. The chat still
+    // runs on a ready engine of the shard, within the bound.
     const bool held = rc::check("each grant on a ready engine within the bound", [this] {
         ShardState state;
         const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(
--- a/tests/claimfleet.cpp
+++ b/tests/claimfleet.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint16_t ownPorts = 26500;
 
-/// A caller that may leave in the middle of its request.
+/// A caller that can disconnect in the middle of its request.
 class Phone
 {
 public:
@@ -93,9 +93,8 @@
 
 TEST_CASE_METHOD(ClaimFixture, "claim_repeatAtEveryRouter_getsTheFirstAnswer", "[claims]")
 {
-    // A courier's confirmation is answered, but the answer is lost on the way to the phone.
-    // The phone sends it again and the balancer picks another router: it must get the same
-    // receipt, and the service must have run once.
+    // Guards against running a request twice. Its answer is lost on the way to the caller, which
+    // repeats it, and the load balancer picks another router. The repeat must get the first answer.
     const auto first = this->order(0, "k1");
     REQUIRE(first.status == 200);
     for (std::size_t router = 0; router < 3; ++router) {
@@ -138,8 +137,8 @@
 
 TEST_CASE_METHOD(ClaimFixture, "claim_routerKilledWhileRunning_neverRunsAgain", "[claims]")
 {
-    // The router that runs a receipt dies before the answer. The phone repeats at the others.
-    // Only the dead router knew what became of it, so the truth is that it may have run.
+    // Guards against running a request again after its router was killed during the run. Only that
+    // router knew the outcome, so repeats at the others are told that it may have run.
     this->fleet.standIns.orders->hold();
     Phone phone;
     this->send(phone, "k1");
@@ -156,9 +155,9 @@
 
 TEST_CASE_METHOD(ClaimFixture, "claim_platformOutage_refusesAsNotRunAndServesAfter", "[claims]")
 {
-    // The platform is down, so nothing can be claimed: the receipt is refused as not run, and
-    // says when to come back. Back again, the same key runs, although the write of the first
-    // try may have taken effect in between.
+    // Guards against a wrong outcome while the platform is down and nothing can be claimed: the
+    // request is refused as not run, with a time to retry. After the outage the same key runs once,
+    // although the first claim's write may have taken effect meanwhile.
     this->fleet.setFaults({{"outage", true}});
     for (std::size_t router = 0; router < 3; ++router) {
         const auto refused = this->order(router, "k1");
@@ -175,8 +174,9 @@
 
 TEST_CASE_METHOD(ClaimFixture, "claim_writeAnswerLost_isRecognisedAsOwn", "[claims]")
 {
-    // The platform takes the write and its answer is lost. The writer finds its own nonce at the
-    // position and goes on; the caller notices nothing, and a repeat doesn't run.
+    // Guards against a claim conflicting with itself when the platform takes its write but the
+    // response is lost. The writer finds its own nonce at the position and continues; a repeat
+    // doesn't run.
     REQUIRE(this->order(0, "warm").status == 200);
     this->fleet.setFaults({{"loseAnswers", 2}});
     CHECK(this->order(0, "k1").status == 200);
@@ -186,9 +186,9 @@
 
 TEST_CASE_METHOD(ClaimFixture, "claim_slowStoreWriteAfterRefusal_isHarmless", "[claims]")
 {
-    // A write takes so long that the caller is refused as not run; then it takes effect. The
-    // claim stands in the log, but its owner never dispatched it and gives it back, so that the
-    // repeat runs, once.
+    // Guards against a key that stays blocked when a claim is written only after its request was
+    // refused as not run. The claim's owner never dispatched it and releases it, so a repeat runs,
+    // once.
     REQUIRE(this->order(0, "warm").status == 200);
     this->fleet.setFaults({{"slowMilliseconds", 2900}});
     CHECK(refusalKindOf(this->order(0, "k1")) == "claim-unavailable");
@@ -211,8 +211,8 @@
 
 TEST_CASE_METHOD(ClaimFixture, "claim_upstreamsRefuseAsNotRun_givesTheClaimBack", "[claims]")
 {
-    // Every replica says that it did not run the receipt. The caller hears "not run", and the
-    // claim is given back: a repeat at another router runs.
+    // Guards against a key that stays blocked after every replica reported the request as not run.
+    // The caller is told "not run" and the claim is released, so a repeat at another router runs.
     this->fleet.standIns.orders->refuse(3);
     const auto refused = this->order(0, "k1");
     CHECK(errorOf(refused).value("ran", "") == "no");
@@ -224,8 +224,8 @@
 
 TEST_CASE_METHOD(ClaimFixture, "claim_callerLeaves_orderEndsAndRepeatGetsAnswer", "[claims]")
 {
-    // A phone loses its connection while its receipt runs. The receipt is not cut off half-way:
-    // its answer is kept, and the phone's repeat gets it, also at another router.
+    // Guards against a non-idempotent request that stops halfway when its caller disconnects. It
+    // runs to its end, and the caller's repeat gets the kept answer, also at another router.
     this->fleet.standIns.orders->hold();
     Phone phone;
     this->send(phone, "k1");
--- a/tests/claimlog.cpp
+++ b/tests/claimlog.cpp
@@ -31,7 +31,7 @@
     return steps;
 }
 
-/// \returns how many of a hundred seeds break a promise under \a breakage.
+/// \returns how many of a hundred seeds violate a guarantee under \a breakage.
 std::size_t violations(Breakage breakage)
 {
     std::size_t found = 0;
@@ -49,10 +49,10 @@
 
 TEST_CASE("claimLog_anyHistory_runsAtMostOnceAndTellsTheTruth", "[claims]")
 {
-    // Three routers write one log at once. Answers are lost, writes take effect long after their
-    // writer stopped waiting, routers crash, pause between a written claim and its dispatch, and
-    // give up claims. Callers repeat at every router. No request runs twice, and none runs of
-    // which a caller was told that it did not.
+    // Three routers write one log concurrently. Responses are lost, writes take effect long after
+    // their writer stopped waiting, and routers crash, pause between a written claim and its
+    // dispatch, and give up claims, while callers retry at every router. No request may run twice,
+    // and none may run after its caller was told that it did not.
     std::size_t granted = 0;
     const bool held = rc::check("at most once, no false not-run", [&granted] {
         const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(
@@ -80,9 +80,9 @@
 
 TEST_CASE("claimLog_keysOlderThanTheLog_areRefusedNotRunAgain", "[claims]")
 {
-    // The log keeps only three segments, so it forgets keys while their callers still repeat.
-    // A key that says when it was made is refused once it is older than what the log remembers;
-    // without that refusal it would look new and run a second time.
+    // The log keeps only three segments, so it forgets keys while their callers still retry. A key
+    // with a creation time is refused once it is older than the log's retention; otherwise it would
+    // look new and run a second time.
     ClaimLogLimits limits = smallLimits();
     limits.maxSegments = 3;
     limits.maxClockSkew = Milliseconds{1000};
--- a/tests/claimworld.h
+++ b/tests/claimworld.h
@@ -9,21 +9,21 @@
 
 namespace plantainswitch::lab {
 
-/// What a deliberately broken variant does wrong, to show that the checkers see it.
+/// Deliberate faults, to show that the checkers detect them.
 enum class Breakage : std::uint8_t {
     None,
-    /// The store takes every write, whatever its condition.
+    /// The store accepts every write, whatever its condition.
     UnconditionalWrites,
     /// Dispatches before the claim is known to be written.
     DispatchEarly,
     /// Dispatches a claim after its caller was refused.
     DispatchAbandoned,
-    /// Gives a claim back although it was dispatched.
+    /// Releases a claim although it was dispatched.
     ReleaseDispatched,
 };
 
-/// Several routers that write one slice's log at one store, with every fault that a step may
-/// order: lost answers, writes that take effect late, outages, crashes, pauses, repeats.
+/// Several routers that write one slice's log at one store, with the faults that each step selects:
+/// lost responses, late writes, outages, crashes, pauses, retries.
 class ClaimWorld
 {
 public:
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Does what the number \a step says.
+    /// Executes the action encoded in \a step.
     void act(std::uint32_t step)
     {
         const std::size_t index = step / actions % routerCount;
@@ -125,7 +125,8 @@
             router.ready.push_back(claim);
         }
         if (this->nonces % 2 == 0) {
-            // The usual writer was asked first, and goes on with the ask beside its owner.
+            // The preferred writer was tried first, and continues with the request in parallel to
+            // its owner.
             enqueueClaim(this->routers[(index + 1) % routerCount].log, {claim, issued});
         }
         this->settle(router, decideClaims(router.log, this->clock.now()));
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Maybe long after the claim was written: the router may have been paused between.
+    /// May run long after the claim was written: the router may have been paused in between.
     void dispatch(std::size_t index)
     {
         Router &router = this->routers[index];
@@ -269,7 +270,7 @@
     std::uint64_t nonces = 0;
 
 public:
-    /// Whether callers say when they made their keys.
+    /// Whether callers state when they created their keys.
     bool dated = false;
 };
 
--- a/tests/concurrency.cpp
+++ b/tests/concurrency.cpp
@@ -15,7 +15,7 @@
 
 constexpr int threadCount = 4;
 constexpr std::uint32_t rounds = 400;
-/// Below every port that a test fleet takes, so that both can run side by side.
+/// Below every port of a test fleet, so that both can run in parallel.
 constexpr std::uint16_t ownPort = 9500;
 constexpr int statusOk = 200;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// An HTTP server and client on worker threads of their own.
+/// An HTTP server and client on their own worker threads.
 class HttpFixture
 {
 protected:
@@ -143,8 +143,8 @@
 
 TEST_CASE_METHOD(HttpFixture, "httpClient_brokenOffAnswer_isNotWhole", "[concurrency]")
 {
-    // An upstream sends a part of its answer and then breaks the connection off. If that looked
-    // like an end, the caller would take the part for its whole answer.
+    // An upstream sends a part of its response and then closes the connection. If that looked like
+    // the end, the caller would take the part for the whole response.
     std::promise<net::HttpResponse> answer;
     this->client.fetch(this->callTo("/cut"),
                        [&answer](net::HttpResponse got) { answer.set_value(std::move(got)); });
@@ -197,8 +197,8 @@
 
 TEST_CASE("catalogueViews_readDuringEdits_areEachOfOneMerge", "[concurrency]")
 {
-    // Edits share with older views what they leave alone. A reader that keeps a view while
-    // others are made from it must see that view as it was: both entries of one merge.
+    // Snapshots share what an edit doesn't change. A reader that keeps one while others are derived
+    // from it must see it unchanged: both entries of one merge.
     CatalogueTable table;
     const auto edit = [&table](std::uint64_t version) {
         const auto weight = static_cast<std::uint32_t>(version);
--- a/tests/crashquarantine.cpp
+++ b/tests/crashquarantine.cpp
@@ -9,7 +9,7 @@
 class CrashSuspectsFixture
 {
 protected:
-    /// The request breaks at an upstream that is found down a moment later.
+    /// Loses the request's connection to an upstream that is found down 100 ms later.
     void crash(RequestFingerprint request, std::uint64_t life)
     {
         const TimePoint begunAt = this->clock.now();
@@ -29,7 +29,7 @@
         return this->suspects.allowTrial(7, isFirst, this->clock.now());
     }
 
-    /// When a request was sent that has been running for a while.
+    /// Send time of a request that has been running for a while.
     [[nodiscard]] TimePoint longAgo() const { return this->clock.now() - Milliseconds{50}; }
 
     [[nodiscard]] CrashReport crashNow(RequestFingerprint request, std::uint64_t life) const
@@ -46,8 +46,8 @@
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_threeUpstreamsCrash_requestIsHeldBack",
                  "[routing]")
 {
-    // One request crashes each upstream that begins to run it, and its caller sends it again. After
-    // the third it must not reach a fourth; all others go on.
+    // A caller keeps sending a request that crashes every upstream that runs it. After the third
+    // crash it must not reach a fourth upstream; other requests are unaffected.
     this->crash(7, 1);
     this->crash(7, 2);
     CHECK_FALSE(this->isHeld(7));
@@ -68,7 +68,8 @@
 
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_successBetween_beginsAnew", "[routing]")
 {
-    // A small call that many send alike was on two upstreams that crashed for another reason.
+    // Guards against quarantining a small request that many callers send alike and that was running
+    // on two upstreams that crashed for other reasons.
     this->crash(7, 1);
     this->crash(7, 2);
     CHECK(this->suspects.clearSuspect(7, this->clock.now()));
@@ -79,12 +80,13 @@
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_upstreamsGoDownTogether_countOnce",
                  "[routing]")
 {
-    // A data centre loses power, and calls that are all alike ran on three of its upstreams.
+    // A data centre loses power while identical requests run on three of its upstreams. Guards
+    // against counting this as three crashes.
     for (std::uint64_t life = 1; life <= 3; ++life) {
         this->suspects.recordBrokenAnswer(7, life, this->longAgo(), this->clock.now());
     }
     for (std::uint64_t life = 1; life <= 3; ++life) {
-        // Each is found down when it is tried again.
+        // Each upstream is found down when it is next tried.
         this->clock.advance(Milliseconds{500});
         this->suspects.confirmCrash(life, this->clock.now());
     }
@@ -93,8 +95,8 @@
 
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_otherRoutersReports_countToo", "[routing]")
 {
-    // Each attempt reaches another router. What they tell each other adds up, and the same crash
-    // told twice doesn't.
+    // Each attempt reaches another router. The routers' reports add up, and a crash that is
+    // reported twice counts once.
     this->crash(7, 1);
     this->suspects.recordCrash(this->crashNow(7, 2), this->clock.now());
     this->clock.advance(Seconds{1});
@@ -126,8 +128,9 @@
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_manyReportsOfOneTrouble_holdOnceOnly",
                  "[routing]")
 {
-    // The crasher takes many upstreams down before it is held, and a call that many send alike was
-    // running on all of them. It is locked out for the first hold, not for ten minutes.
+    // A crashing request takes down many upstreams before it is quarantined, and an innocent
+    // request that many callers send alike was running on all of them. It must be quarantined for
+    // initialQuarantine only, not for ten minutes.
     for (std::uint64_t life = 1; life <= 12; ++life) {
         this->crash(7, life);
     }
@@ -137,7 +140,8 @@
 
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_wordOfClearingLost_isTriedLater", "[routing]")
 {
-    // Another router tries a held request for all; this one never hears that it was answered.
+    // The designated router runs the trial of a quarantined request, but its report of the success
+    // never arrives here. Guards against an indefinite quarantine.
     for (std::uint64_t life = 1; life <= 3; ++life) {
         this->crash(7, life);
     }
@@ -149,8 +153,8 @@
 
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_triedAgainAndAnswered_isFree", "[routing]")
 {
-    // A call that many send alike ran beside the crasher three times in a row. The one of them that
-    // is let through is answered, and all others may run again.
+    // An innocent request that many callers send alike ran beside the crashing one three times in a
+    // row. Its trial succeeds, so all copies may run again.
     for (std::uint64_t life = 1; life <= 3; ++life) {
         this->crash(7, life);
     }
@@ -182,9 +186,10 @@
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_answeredSinceItBroke_isNotBlamedLater",
                  "[routing]")
 {
-    // Many callers send the same harmless call, and some of them run beside a request that crashes
-    // one upstream after the other. Others are answered all the while. The upstreams are found down
-    // only then: who was answered since did not crash them, or half of all calls would be refused.
+    // Many callers send the same innocent request, and some copies run beside a request that
+    // crashes one upstream after the other, while other copies are answered. The upstreams are
+    // found down only afterwards. Guards against quarantining a request that was answered since,
+    // which would reject half of all requests.
     for (std::uint64_t life = 1; life <= 3; ++life) {
         this->suspects.recordBrokenAnswer(7, life, this->longAgo(), this->clock.now());
         this->suspects.recordBrokenAnswer(8, life, this->longAgo(), this->clock.now());
@@ -202,7 +207,8 @@
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_oldWordAfterItsSuccess_isIgnored",
                  "[routing]")
 {
-    // Another router's word of a crash comes after the request was answered here, and is older.
+    // Another router's report of a crash arrives after the request was answered here, but the crash
+    // happened before that.
     this->crash(7, 1);
     const TimePoint before = this->clock.now();
     this->clock.advance(Milliseconds{100});
@@ -218,9 +224,9 @@
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_sentOnWithinOneMoment_countsEachCrash",
                  "[routing]")
 {
-    // A router sends a request on to the next upstream as soon as its answer breaks off, so that
-    // three upstreams are down within some milliseconds. Each run began after the one before had
-    // ended: that isn't one trouble of all three, and the caller's next call must not run.
+    // A router retries a request on the next upstream as soon as its connection is lost, so that
+    // three upstreams go down within some milliseconds. Each run started after the previous one had
+    // ended. Guards against taking them for one outage and running the caller's next attempt.
     for (std::uint64_t life = 1; life <= 3; ++life) {
         const TimePoint begunAt = this->clock.now();
         this->clock.advance(Milliseconds{2});
@@ -235,8 +241,9 @@
 TEST_CASE_METHOD(CrashSuspectsFixture, "crashSuspects_routerStartsAnew_isToldWhatIsHeld",
                  "[routing]")
 {
-    // Routers are restarted in turn while a crashing request comes again and again. Whoever starts
-    // hears from the others what is held back, and nothing of requests that crashed once.
+    // Routers are restarted one after the other while a crashing request is retried again and
+    // again. Each new router must be told which requests are quarantined, but not of requests that
+    // crashed once.
     for (std::uint64_t life = 1; life <= 3; ++life) {
         this->crash(7, life);
     }
--- a/tests/draining.cpp
+++ b/tests/draining.cpp
@@ -25,7 +25,8 @@
     UpstreamTable table;
 };
 
-/// The table without memory of what left, as it must not be.
+/// A wrong implementation that doesn't track draining upstreams, to check that the property detects
+/// it.
 class ForgetfulTable
 {
 public:
@@ -45,8 +46,8 @@
     std::unique_ptr<UpstreamTable> table = std::make_unique<UpstreamTable>();
 };
 
-/// Plays lists that lag and flap after a VM said that it is leaving.
-/// \returns whether it ever got work again within its life.
+/// Applies stale and flapping lists after a VM has reported that it is draining.
+/// \returns whether it ever got work again within its incarnation.
 template<typename Table>
 bool worksAfterLeaving(const std::vector<std::uint32_t> &steps)
 {
@@ -70,8 +71,9 @@
 
 TEST_CASE("leaving_anyLaggingLists_getNoWorkAgain", "[leaving]")
 {
-    // An engine answers that it is leaving; the platform's lagging list goes on calling it live,
-    // drops it and shows it again. Work sent there would be cut off with the VM.
+    // An engine reports that it is draining, while the platform's stale list still shows it as
+    // ready, drops it and shows it again. Guards against sending requests that would be cut off
+    // when the VM stops.
     const bool held = rc::check("no work after leaving", [] {
         const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(
             rc::gen::inRange<std::uint32_t>(0, 1000));
@@ -84,7 +86,7 @@
 
 TEST_CASE_METHOD(LeavingFixture, "leaving_noticeBeforeList_sticks", "[leaving]")
 {
-    // A peer's notice overtakes the lagging list that first shows the VM.
+    // A router's notice arrives before the list that first shows the VM.
     this->table.markDraining("engine", this->clock.now());
     this->list({engineOf(false, 5)});
     CHECK_FALSE(this->serves());
--- a/tests/enginecoordinator.cpp
+++ b/tests/enginecoordinator.cpp
@@ -24,8 +24,8 @@
 
 TEST_CASE_METHOD(EngineKeeperFixture, "engineKeeper_manyRouters_shareOneBound", "[routing]")
 {
-    // Sixty routers each have at most one request on an engine. None of them sees that it is full;
-    // the engine's keeper does.
+    // Sixty routers each have at most one request on an engine, so that none of them sees that it
+    // is full; the engine's coordinator does.
     int granted = 0;
     for (std::uint64_t number = 1; number <= 60; ++number) {
         granted += this->ask("router-" + std::to_string(number), number).granted ? 1 : 0;
@@ -39,8 +39,9 @@
 TEST_CASE_METHOD(EngineKeeperFixture, "engineKeeper_engineNotAskedAbout_isForgottenOnceIdle",
                  "[routing]")
 {
-    // Engines are replaced all day, each start is a new one. A keeper that ran for months must not
-    // remember them all; one on which a request still runs must not be forgotten.
+    // Engines are replaced throughout the day, each restart as a new incarnation. Guards against a
+    // coordinator that keeps all of them for months, and against one that removes an engine on
+    // which a request is still running.
     CHECK(this->ask("a", 1).granted);
     this->clock.advance(idleEngineRetention + Seconds{1});
     this->keeper.removeIdleEngines(this->clock.now());
@@ -68,8 +69,8 @@
 TEST_CASE_METHOD(EngineKeeperFixture, "engineKeeper_endIsLost_grantIsTakenBackByItsRoutersNews",
                  "[routing]")
 {
-    // The datagram that ends a grant is lost. Counted for ever, a few of them would close the
-    // engine; its router's news show that it has fewer requests there.
+    // The datagram that releases a grant is lost. Guards against counting the grant forever, which
+    // would gradually block the engine; the router's updates report fewer requests.
     this->ask("a", 1);
     this->ask("a", 2);
     this->keeper.reconcile("a", 7, 0, this->clock.now());
@@ -92,8 +93,8 @@
 TEST_CASE_METHOD(EngineKeeperFixture, "engineKeeper_newKeeper_believesTheRoutersForAWhile",
                  "[routing]")
 {
-    // An engine's keeper has died, and the next one knows none of its grants. Without the routers'
-    // word it would fill the engine a second time.
+    // An engine's coordinator fails, and its successor knows none of its grants. Guards against
+    // filling the engine a second time: the routers' reports count for takeoverPeriod.
     CHECK_FALSE(this->ask("a", 1, 3.0, 3).granted);
     this->clock.advance(takeoverPeriod);
     CHECK(this->ask("a", 2, 3.0, 3).granted);
--- a/tests/eventrelay.cpp
+++ b/tests/eventrelay.cpp
@@ -49,8 +49,8 @@
 
 TEST_CASE("eventRelay_streamBreaksWithinEvent_goesOnAfterTheLastWholeOne", "[routing]")
 {
-    // The upstream dies in the middle of its third event. The caller has two whole events; the
-    // next upstream is asked for what follows them, and the torn part must not be joined to it.
+    // The upstream fails in the middle of its third event, and the next one is asked to resume
+    // after the second. Guards against joining the incomplete event to the resumed stream.
     EventRelay relay;
     std::string out;
     REQUIRE(relay.feed(eventOf(1) + eventOf(2) + "id: 3\ndata: pi", out));
--- a/tests/fairqueue.cpp
+++ b/tests/fairqueue.cpp
@@ -42,7 +42,7 @@
     QueueSettings settings;
 };
 
-/// One history of a keeper with one engine and its queue.
+/// Generated history of a coordinator with one engine and its queue.
 struct KeeperHistory
 {
     enum class Fault { None, GrantAfterExpiry, FirstInFirstOut, Unbounded };
@@ -108,8 +108,9 @@
     std::set<std::uint32_t> granted;
 };
 
-/// Drives arrivals of three surging workspaces and a quiet one, a slot every 50 ms.
-/// \returns whether the queue was bounded, nobody quiet starved and no ask ended in two ways.
+/// Drives arrivals of three surging workspaces and a quiet one, with a free slot every 50 ms.
+/// \returns whether the queue was bounded, no quiet workspace starved and no request ended in two
+/// ways.
 bool historyHolds(KeeperHistory::Fault fault)
 {
     KeeperHistory history;
@@ -125,7 +126,7 @@
             history.arrive(KeeperHistory::quiet);
         }
         history.clock.advance(Milliseconds{50});
-        // The router repeats what waits, so silence plays no part here.
+        // The router repeats waiting requests, so that none times out.
         for (auto &[workspace, flow] : history.queue.flows) {
             for (QueuedRequest &queued : flow.waiting) {
                 queued.lastRepeatedAt = history.clock.now();
@@ -143,8 +144,8 @@
 
 TEST_CASE_METHOD(QueueFixture, "fairQueue_surgingWorkspace_delaysItself", "[fairqueue]")
 {
-    // Workspace 1 fills the queue before workspace 2 sends a single request. In order of
-    // arrival that one would wait behind all of the surge; here it is next but one.
+    // Workspace 1 fills the queue before workspace 2 sends a single request. In order of arrival
+    // that request would wait behind the whole surge; here it is served first or second.
     for (std::uint32_t id = 1; id <= 50; ++id) {
         this->add(askOf(id, 1));
     }
@@ -185,8 +186,8 @@
 
 TEST_CASE_METHOD(QueueFixture, "fairQueue_routerGoneOrSilent_leavesTheQueue", "[fairqueue]")
 {
-    // A router dies while its asks wait. Granted later, their slots would stay taken until the
-    // member timeout; so a router that doesn't repeat its asks loses its place.
+    // A router dies while its requests wait. If they were granted later, their slots would stay
+    // taken until the member timeout, so a router that doesn't repeat its requests is removed.
     this->add(askOf(1, 1));
     this->add(askOf(2, 1));
     CHECK(cancelRequest(this->queue, {1, 1}));
@@ -197,8 +198,8 @@
 
 TEST_CASE_METHOD(QueueFixture, "fairQueue_waitBeyondBound_isRefusedAtOnceWithTime", "[fairqueue]")
 {
-    // A slot comes free every 100 ms and an ask allows a second. The eleventh of a workspace
-    // can't be served in time; letting it wait would only delay its refusal.
+    // A slot becomes free every 100 ms and a request waits for at most a second. The eleventh of a
+    // workspace can't be served in time; queueing it would only delay its refusal.
     for (std::uint32_t id = 1; id <= 8; ++id) {
         this->add(askOf(id, 1));
     }
--- a/tests/fleetcut.cpp
+++ b/tests/fleetcut.cpp
@@ -18,14 +18,14 @@
 constexpr int statusOk = 200;
 constexpr std::uint32_t callers = 3;
 constexpr std::uint32_t ordersOfCaller = 10'000;
-/// Orders from here on are sent by the test itself.
+/// Order numbers from here on are used by the test's own probes, not by the callers.
 constexpr std::uint32_t firstProbe = callers * ordersOfCaller;
 constexpr std::uint32_t sendingsOfOrder = 4;
 constexpr std::chrono::seconds chatsLast{6};
 constexpr std::chrono::milliseconds askPeriod{20};
-/// Calls by which a router shows that it watches the platform: a watcher makes one a second, a
-/// router that has only heard of no watcher for long makes one in ten seconds, too few for the
-/// patience of a test.
+/// Platform calls after which a router counts as a watcher: a watcher makes one per second. A
+/// router that only probes because it has heard of no watcher for long makes one in ten seconds and
+/// doesn't reach the count before the test's timeout.
 constexpr std::uint64_t callsOfWatcher = 5;
 
 using Half = std::vector<std::size_t>;
@@ -43,7 +43,7 @@
     return deployment;
 }
 
-/// Asks all routers again and again which version they have in force.
+/// Polls all routers for the catalogue version that they have applied, and records it.
 class VersionWatch
 {
 public:
@@ -62,7 +62,8 @@
                                                         - this->began);
     }
 
-    /// Waits until each router showed \a edit, or for as long as Fleet::eventually() does.
+    /// Waits until each router has reported \a edit. \returns false on Fleet::eventually()'s
+    /// timeout.
     [[nodiscard]] bool eventuallyInForce(const AcceptedEdit &edit)
     {
         return Fleet::eventually([&] {
@@ -76,7 +77,7 @@
         });
     }
 
-    /// Ends the recording. \returns it.
+    /// Stops recording. \returns all observations.
     const std::vector<VersionObservation> &end()
     {
         this->ended = true;
@@ -111,7 +112,7 @@
     std::thread thread;
 };
 
-/// Two halves of a fleet under chats and orders.
+/// A fleet of two partitions under a load of chats and orders.
 class HalvedFleet
 {
 public:
@@ -146,7 +147,7 @@
         return {this->fleet.standIns.platform.set("workspace", name, toJson(EntryBody{body})), now};
     }
 
-    /// Waits until each router of \a half counts no other router than those of its half.
+    /// Waits until each router of \a partition has exactly the routers of its partition as members.
     [[nodiscard]] bool eventuallyAlone(const Half &half)
     {
         return Fleet::eventually([&] {
@@ -169,7 +170,7 @@
         });
     }
 
-    /// Waits until each router watches the platform itself, as it does when few are left.
+    /// Waits until each router watches the platform itself.
     [[nodiscard]] bool eventuallyEachWatches()
     {
         std::vector<std::uint64_t> before;
@@ -210,7 +211,7 @@
     std::unique_ptr<VersionWatch> versions;
 
 private:
-    /// Sends each order several times, also after an answer, as if that had been lost.
+    /// Sends each order several times, also after a response, as if that had been lost.
     void runCaller(std::uint32_t caller)
     {
         std::mt19937 random(caller);
@@ -222,7 +223,7 @@
         }
     }
 
-    /// \returns the calls by which \a router looked for news, those of claims left out.
+    /// \returns how often \a router called the platform, except for claims.
     std::uint64_t watchCalls(std::size_t router)
     {
         const std::string page = this->fleet.operatorPage(router, "/metrics").body;
@@ -252,8 +253,8 @@
     std::uint32_t probes = 0;
 };
 
-/// Cuts \a one and \a other from each other while callers go on and an operator edits, heals, and
-/// checks what was recorded.
+/// Partitions \a one from \a other while callers continue and an operator edits entries, heals the
+/// partition and checks the recordings.
 void cutAndHeal(HalvedFleet &halved, const Half &one, const Half &other)
 {
     halved.fleet.cut(one, other);
@@ -277,19 +278,19 @@
 
 TEST_CASE("fleet_placesCutFromEachOther_eachServesAndEditsHold", "[fleetcut]")
 {
-    // One data centre is cut off from the two others while couriers and chats call all of them
-    // and an operator edits. Each half counts the other as gone, goes on serving by its own view,
-    // and reads the edits itself. After the healing all know each other; a stale half must
-    // neither run a receipt again nor bring back what was edited.
+    // One data centre is partitioned from the two others under load while an operator edits
+    // entries. Each partition has to drop the other's routers, keep serving and read the edits
+    // itself. Guards against a partition that after healing runs a non-idempotent order again or
+    // reverts an edit.
     HalvedFleet halved(deploymentIn({"hall-a", "hall-b", "hall-c"}, 6));
     cutAndHeal(halved, {0, 3}, {1, 2, 4, 5});
 }
 
 TEST_CASE("fleet_watchersCutFromTheirPlace_othersWatchThemselves", "[fleetcut]")
 {
-    // The three watchers of a place are cut off from its two other routers, which know the
-    // catalogue only through them. An edit reaches the watchers at once; the two must notice and
-    // read the platform themselves, else they serve by the old catalogue without a word.
+    // The three watchers of a data centre are partitioned from its two other routers, which get the
+    // catalogue only from them. An edit reaches the watchers at once. Guards against the two others
+    // silently serving by the old catalogue instead of watching the platform themselves.
     const Deployment deployment = deploymentIn({"hall-a"}, 5);
     std::vector<Heartbeat> routers;
     for (const RouterLayout &router : routersOf(deployment)) {
--- a/tests/fleetfreeze.cpp
+++ b/tests/fleetfreeze.cpp
@@ -34,7 +34,7 @@
         return Fleet::eventually([=, this] { return this->orders.send(order, router).answered; });
     }
 
-    /// Longer than every timeout that others have for router 0.
+    /// Waits until the others have removed router 0, which exceeds all their timeouts for it.
     [[nodiscard]] bool eventuallyGone()
     {
         return Fleet::eventually([this] {
@@ -48,8 +48,9 @@
         return this->fleet.platformPage("/objects?kinds=claimlog&after=0").body;
     }
 
-    /// Sends orders to router 0 and freezes it once a claim is written, whose answer the
-    /// platform delays; a router that was faster is thawed and tried again with the next order.
+    /// Sends an order to router 0 and freezes the router once its claim is written, before the
+    /// platform's delayed response arrives. If the order runs before the freeze, thaws the router
+    /// and tries again with the next order.
     /// \returns the number of the order that had not run when the router was frozen
     std::uint32_t freezeBeforeDispatch(std::future<SendAttempt> &caller)
     {
@@ -87,10 +88,11 @@
 TEST_CASE_METHOD(FreezeFixture, "order_ownerFrozenBetweenClaimAndDispatch_runsOnce",
                  "[fleetfreeze]")
 {
-    // A courier's receipt is claimed in the log; before it is dispatched its router's VM is
-    // paused for longer than every timeout. The phone repeats at the other routers, which can't
-    // ask the owner. Thawed, the owner still believes that it holds the claim, and may run it;
-    // had another run it meanwhile, there would be two receipts.
+    // A router's VM is paused for longer than every timeout after an order's claim is written and
+    // before the order is dispatched. The caller retries at the other routers, which can't reach
+    // the owner of the claim. After the pause the owner still holds the claim and may dispatch the
+    // order. Guards against another router running it in the meantime, which would execute it
+    // twice.
     std::future<SendAttempt> first;
     const std::uint32_t order = this->freezeBeforeDispatch(first);
     REQUIRE(this->eventuallyGone());
@@ -107,9 +109,10 @@
 
 TEST_CASE_METHOD(FreezeFixture, "order_ownerFrozenWhileItRuns_answersAfterTheThaw", "[fleetfreeze]")
 {
-    // A receipt runs when its router is paused for longer than every timeout; the service's
-    // answer comes meanwhile. Repeats elsewhere hear that it may have run. Thawed, the router
-    // hands on the answer to its caller, and the repeats get the same.
+    // A router is paused for longer than every timeout while an order runs, and the service
+    // responds during the pause. Retries at other routers must be refused with may-have-run. After
+    // the pause the router must relay the response to its caller, and further retries must get the
+    // same one.
     this->fleet.standIns.orders->hold();
     auto first = this->sendAside(1, 0);
     REQUIRE(Fleet::eventually([this] { return this->fleet.standIns.runs->keys() == 1; }));
@@ -127,9 +130,9 @@
 
 TEST_CASE_METHOD(FreezeFixture, "fleet_oneRouterFrozen_othersServeAndItComesBack", "[fleetfreeze]")
 {
-    // One router is paused. It was the claim writer of a third of the keys and the keeper of a
-    // third of the shards, and its peers' messages wait in its sockets. The others must serve
-    // all keys; thawed, it works through what is long out of date and serves again.
+    // The paused router is the claim writer of a third of the keys and the coordinator of a third
+    // of the shards, and its peers' messages queue in its sockets. The others must serve all keys.
+    // After the pause it must process the outdated messages and serve again.
     constexpr std::uint32_t keys = 12;
     constexpr std::uint32_t allKeys = 2 * keys;
     this->fleet.freezeRouter(0);
--- a/tests/fleethistory.cpp
+++ b/tests/fleethistory.cpp
@@ -26,7 +26,8 @@
     CHECK_FALSE(violation.has_value());
 }
 
-/// Real routers under load while routers die, the platform fails and answers of writes are lost.
+/// Injects faults into real routers under load: killed routers, platform outages and slowness, and
+/// lost responses to writes.
 class FleetHistoryFixture
 {
 protected:
@@ -87,10 +88,10 @@
 TEST_CASE_METHOD(FleetHistoryFixture, "fleet_faultsDuringOrders_keepsPromisesInRecordedHistory",
                  "[fleethistory]")
 {
-    // Couriers send signature receipts and send each again, to any router, until they have an
-    // answer, while routers die and come back, the platform is down or slow, and answers of its
-    // writes are lost. Each receipt may run once; an answer belongs to its own receipt; whoever
-    // heard "not run" was told the truth.
+    // Callers send non-idempotent orders and retry each at any router until it is answered, while
+    // routers are killed and restarted, the platform is down or slow, and responses to its writes
+    // are lost. Guards against an order that runs twice, a response to another order, and a "not
+    // run" refusal of an order that ran.
     std::vector<std::thread> threads;
     threads.reserve(callers);
     for (std::uint32_t caller = 0; caller < callers; ++caller) {
@@ -121,8 +122,9 @@
 TEST_CASE_METHOD(FleetHistoryFixture, "fleet_faultsDuringChats_givesOnlyWholeOwnAnswers",
                  "[fleethistory]")
 {
-    // Chats return to any router while routers die and the platform fails. A caller may be cut
-    // off or refused, but what looks like a whole answer is whole and its own.
+    // Chats use any router while routers are killed and the platform fails. Responses may be
+    // truncated or refused. Guards against one that looks complete but is truncated or belongs to
+    // another request.
     asio::io_context context;
     LoadOptions options;
     options.duration = std::chrono::seconds(4);
--- a/tests/fleetmembers.cpp
+++ b/tests/fleetmembers.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::uint16_t ownPorts = 28000;
-/// Four in each of two places, so that one of each place does not watch.
+/// Four in each of two data centres, so that one router of each isn't a watcher.
 constexpr std::size_t routerCount = 8;
 constexpr std::size_t stoppedCount = 4;
 constexpr int callersEach = 2;
@@ -58,8 +58,9 @@
                 {"messages", {{{"role", "user"}, {"content", "hello"}}}}};
     }
 
-    /// Sends long answers through half of the routers and runs \a end on each of these.
-    /// \returns how many answers came whole.
+    /// Requests long responses from half of the routers, starts a platform outage and calls \a end
+    /// for each of these routers while they are relaying. \returns how many responses were
+    /// complete.
     template<typename End>
     int wholeAnswersWhile(End end)
     {
@@ -109,9 +110,9 @@
 TEST_CASE_METHOD(FleetMembersFixture, "fleet_allButOneRestartedInOutage_keepTheNewestEdit",
                  "[fleet]")
 {
-    // An edit is in force; the platform goes down; all routers but one are replaced. The new ones
-    // know neither the platform nor the catalogue and must get the edit from the one that stayed,
-    // not serve by nothing or by something older.
+    // After an edit the platform goes down and all routers but one are restarted. The new ones can
+    // only get the edit from the one that kept running. Guards against serving without a catalogue
+    // or by an older one.
     const std::uint64_t version = this->narrowClass("hall-b");
     CHECK(Fleet::eventually([&] { return this->inForce(0, version); }));
     this->fleet.setFaults({{"outage", true}});
@@ -137,7 +138,7 @@
 TEST_CASE_METHOD(FleetMembersFixture, "fleet_platformLosesWatches_editIsInForceAllTheSame",
                  "[fleet]")
 {
-    // Guards against serving by an old catalogue while a watch waits that nobody will answer.
+    // Guards against serving by an old catalogue while a watch is pending that the platform lost.
     this->fleet.setFaults({{"silent", true}});
     this->fleet.setFaults({{"silent", false}});
     const std::uint64_t version = this->narrowClass("hall-a");
@@ -148,7 +149,8 @@
 
 TEST_CASE_METHOD(FleetMembersFixture, "fleet_oldListAfterEdit_turnsNothingBack", "[fleet]")
 {
-    // The platform goes on handing out the list as it was before an edit that the routers know.
+    // The platform keeps returning a list from before an edit that the routers have applied. Guards
+    // against the list reverting the edit.
     this->fleet.setFaults({{"oldList", true}});
     const std::uint64_t hidden = this->narrowClass("hall-a");
     this->fleet.killRouter(3);
@@ -163,9 +165,9 @@
 
 TEST_CASE_METHOD(FleetMembersFixture, "fleet_halfStoppedTwiceDuringStreams_cutsNothing", "[fleet]")
 {
-    // Half of the routers are asked to stop at once, and again, while each relays long answers
-    // and the platform is down. Every caller must get its whole answer, a request that comes
-    // late too, and the routers left must serve without the keepers that went.
+    // Half of the routers are asked to stop, twice, while each relays long responses and the
+    // platform is down. Guards against truncated responses, refused late requests, and remaining
+    // routers that still depend on the stopped coordinators.
     const int whole = this->wholeAnswersWhile([this](std::size_t router) {
         this->fleet.stopRouter(router);
         this->fleet.stopRouter(router);
@@ -186,7 +188,7 @@
 TEST_CASE_METHOD(FleetMembersFixture, "fleet_halfKilledDuringStreams_checkSeesCutAnswers",
                  "[fleet]")
 {
-    // The broken variant of a stop ends the process at once; the check above must see it.
+    // Negative control of the test above: routers that end at once must be detected by its check.
     const int whole =
         this->wholeAnswersWhile([this](std::size_t router) { this->fleet.killRouter(router); });
     CHECK(whole == 0);
@@ -194,8 +196,8 @@
 
 TEST_CASE_METHOD(FleetMembersFixture, "fleet_leavingByList_reachesRoutersThatDoNotWatch", "[fleet]")
 {
-    // All engines of hall-a begin to leave; the class permits hall-a alone, so each router that
-    // knows it refuses, and none may go on sending work there.
+    // All engines of hall-a drain, and the data class permits only hall-a, so each router that has
+    // learned of it refuses. Guards against routers that don't watch and keep sending work there.
     const std::uint64_t version = this->narrowClass("hall-a");
     for (Vm vm : upstreamsOf(this->fleet.deployment)) {
         if (vm.dataCentre == "hall-a") {
--- a/tests/fleetnarrow.cpp
+++ b/tests/fleetnarrow.cpp
@@ -19,7 +19,7 @@
 const std::string allowedPlace = "hall-a";
 const std::string dataClass = "regulated";
 
-/// One replica a place, each of which takes one request at a time.
+/// One replica per data centre, each with a capacity of one request.
 Deployment narrowDeployment()
 {
     Deployment deployment = lowtherDeployment(ownPorts, routers);
@@ -75,7 +75,7 @@
 
     [[nodiscard]] std::size_t ran() const { return this->fleet.standIns.runs->keys(); }
 
-    /// Takes all places but one from the data class and waits until that is in force.
+    /// Permits only one data centre to the data class and waits until all routers have applied it.
     [[nodiscard]] bool narrow()
     {
         const DataClass narrowed{this->fleet.deployment.name, {allowedPlace}, 0};
@@ -98,10 +98,10 @@
 TEST_CASE_METHOD(NarrowFixture, "edit_narrowsClassWhileRequestsQueue_noneRunsInForbiddenPlace",
                  "[fleetnarrow]")
 {
-    // One request runs in each place and others wait in the queues. An operator takes all places
-    // but one from the data class; the edit is in force at every router; then the replicas come
-    // free. What waited was admitted under the old entry and may hold its slot already, but its
-    // data must not go to a place that is forbidden now.
+    // One request runs in each data centre and others are queued. An operator restricts the data
+    // class to one data centre, and every router applies the edit before the replicas become free.
+    // Guards against sending queued requests, which were admitted under the old entry and may
+    // already hold a slot, to a data centre that is now forbidden.
     Answers running = this->sendAside(replicas, "running-");
     REQUIRE(Fleet::eventually([this] { return this->ran() == replicas; }));
     Answers queued = this->sendAside(waiting, "queued-");
--- a/tests/fleetports.cpp
+++ b/tests/fleetports.cpp
@@ -6,8 +6,8 @@
 
 TEST_CASE("fleet_overlappingPortsAskedFor_getsABlockOfItsOwn", "[fleetports]")
 {
-    // Two test programs run side by side and ask for ports 100 apart. Were the blocks taken as
-    // asked for, a router of one would now and then find its port taken by the other.
+    // Guards against two test programs that run in parallel and request port blocks 100 apart: with
+    // overlapping blocks a router sometimes finds its port in use by the other program.
     constexpr std::uint16_t ports = 22'000;
     constexpr int blockSize = 400;
     const Fleet first(lowtherDeployment(ports, 1));
--- a/tests/fleetretrybudget.cpp
+++ b/tests/fleetretrybudget.cpp
@@ -27,9 +27,9 @@
 TEST_CASE_METHOD(FleetRetriesFixture, "fleetRetries_allRoutersSpendEverything_sumStaysWithinLimit",
                  "[routing]")
 {
-    // All upstreams fail, and every router repeats whatever it may, for a minute. In any window
-    // the repeats of all routers together stay within the promised share of the requests and the
-    // margin; no router asks another.
+    // All upstreams fail, and for a minute every router retries as often as it may. In any window,
+    // the retries of all routers together must stay within the promised share of the requests plus
+    // the margin, without coordination.
     constexpr std::uint32_t routers = 8;
     constexpr std::uint32_t requestsEach = 20;
     std::vector<FleetRetryBudget> fleet(routers, FleetRetryBudget(this->limit));
--- a/tests/fleettools.h
+++ b/tests/fleettools.h
@@ -6,7 +6,7 @@
 
 namespace plantainswitch::lab {
 
-/// \returns Lowther's deployment with so many routers, at ports of its own.
+/// \returns the "lowther" deployment with \a routers routers and ports from \a basePort on.
 inline Deployment lowtherDeployment(std::uint16_t basePort, std::uint32_t routers)
 {
     Deployment deployment = *deploymentOf("lowther");
@@ -15,7 +15,7 @@
     return deployment;
 }
 
-/// \returns the body of a chat request of one message.
+/// \returns the body of a chat request with one message, \a text, for at most \a tokens tokens.
 inline nlohmann::json chatBody(const Fleet &fleet, const std::string &text,
                                std::uint32_t tokens = 16, bool stream = false)
 {
@@ -25,14 +25,14 @@
             {"stream", stream}};
 }
 
-/// \returns the error of a refusal, or an empty object.
+/// \returns the error object of a refusal, or an empty object for any other response.
 inline nlohmann::json errorOf(const net::HttpResponse &answer)
 {
     const auto json = nlohmann::json::parse(answer.body, nullptr, false);
     return json.is_object() && json.contains("error") ? json["error"] : nlohmann::json::object();
 }
 
-/// \returns the kind of a refusal, or nothing.
+/// \returns the kind of a refusal, or an empty string for any other response.
 inline std::string refusalKindOf(const net::HttpResponse &answer)
 {
     return errorOf(answer).value("kind", "");
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr Milliseconds turn{20};
-/// What the platform promises its users: an edit is in force so long after it was accepted, for
-/// routers that have reached the platform for the second span.
+/// Guarantee: an edit is in force this long after it was accepted, on routers that have reached the
+/// platform for the second duration.
 constexpr Milliseconds editBound{2000};
 constexpr Milliseconds contactSpan{3000};
 constexpr Milliseconds loopPause{250};
@@ -33,7 +33,7 @@
     TimePoint until;
 };
 
-/// A platform that accepts watches, and never answers those that it held while it was silent.
+/// A platform that accepts watches, and never answers those that it held while it was unresponsive.
 struct SilentPlatform
 {
     [[nodiscard]] bool isSilent(TimePoint from, TimePoint until) const
@@ -62,7 +62,7 @@
 
 enum class Call : std::uint8_t { None, List, Watch };
 
-/// One router of a fleet that follows the configuration.
+/// A router of a fleet that follows the configuration.
 class FollowingRouter
 {
 public:
@@ -194,7 +194,7 @@
 
 struct Outcome
 {
-    /// Turns in which a router served by configuration that was too old.
+    /// Number of steps in which a router served with outdated configuration.
     std::size_t staleTurns = 0;
     std::size_t calls = 0;
 };
@@ -202,7 +202,7 @@
 class FreshnessFixture
 {
 protected:
-    /// Plays \a span of a fleet against \a platform.
+    /// Runs a fleet against \a platform for \a span.
     static Outcome play(const SilentPlatform &platform, std::size_t routers, Milliseconds span,
                         const FreshnessPolicy &policy)
     {
@@ -235,7 +235,7 @@
 
     static TimePoint start() { return TimePoint{Seconds{1000}}; }
 
-    /// \returns a platform that is silent now and then while its configuration is edited.
+    /// \returns a platform that is unresponsive at times while its configuration is edited.
     static SilentPlatform platformOf(std::uint64_t seed)
     {
         std::mt19937_64 random(seed);
@@ -266,7 +266,7 @@
 TEST_CASE_METHOD(FreshnessFixture, "freshness_platformSilentAmidEdits_noRouterServesByOldOnes",
                  "[members]")
 {
-    // Guards against taking a watch that nobody will answer for "nothing has changed".
+    // Guards against treating a watch that will never be answered as "nothing has changed".
     for (const std::size_t routers : {1U, 2U, 6U, 8U}) {
         for (std::uint64_t seed = 1; seed <= 25; ++seed) {
             INFO("routers " << routers << ", seed " << seed);
@@ -322,8 +322,8 @@
 
 TEST_CASE("watch_standbyAfterChange_pausesLongerUntilItIsFirst", "[members]")
 {
-    // Guards against as many calls for each change as a data centre has watchers, and against a
-    // standby that sleeps on when the first watcher is lost.
+    // Guards against one call per change from every watcher of a data centre, and against a standby
+    // that keeps waiting when the first watcher is lost.
     const FreshnessPolicy policy = freshnessWithin(contactSpan);
     CHECK(policy.standbyCoalesceDelay > policy.coalesceDelay);
     CHECK_FALSE(isWatchDue(policy, policy.coalesceDelay, true));
--- a/tests/fuzz.cpp
+++ b/tests/fuzz.cpp
@@ -108,9 +108,8 @@
 
 TEST_CASE("pingRequest_withoutTarget_isRefused", "[fuzz]")
 {
-    // A datagram asks a router to probe somebody, and the field that names whom was lost. The
-    // probe would go to no address at all, which can't be turned into an IP number: the router
-    // that tries ends.
+    // Guards against a ping request without its target. The probe's empty address can't be parsed
+    // as an IP address, and sending to it would end the router.
     const Endpoint good{"10.0.0.1", 2};
     SwimMessage swim;
     swim.sender = heartbeatOf("r0", good, good);
@@ -123,9 +122,9 @@
 
 TEST_CASE("swimMessage_longNames_staysWithinADatagram", "[fuzz]")
 {
-    // Operators give routers names of 200 bytes. Eight rumours beside the sender's heartbeat are
-    // then larger than a datagram may be; every receiver refuses it, and the whole place comes
-    // to think that nobody is there.
+    // Guards against oversized membership messages. With router names of 200 bytes, eight
+    // membership updates and the sender's heartbeat exceed a datagram. If every receiver rejected
+    // it, a whole data centre would consider its routers gone.
     const Endpoint good{"10.0.0.1", 2};
     SwimMessage swim;
     constexpr std::size_t longName = 200;
@@ -139,9 +138,8 @@
 
 TEST_CASE("heartbeat_withoutUsableAddress_isRefused", "[fuzz]")
 {
-    // One damaged heartbeat names a peer by "ghost" instead of an IP number. The next beat goes
-    // to every member, the address can't be turned into one, and the router would end: each
-    // router of the fleet that hears the datagram, at its next beat.
+    // Guards against a heartbeat with a host name ("ghost") instead of an IP address. Sending to it
+    // at the next membership tick would end every router that had received the datagram.
     const Endpoint good{"10.0.0.1", 2};
     SwimMessage swim;
     swim.sender = heartbeatOf("r0", {"ghost", 1}, good);
@@ -195,8 +193,8 @@
 
 TEST_CASE_METHOD(FuzzFixture, "sse_parserThatForgetsPieces_isCaughtBySplitting", "[fuzz]")
 {
-    // The check above has to be able to fail: a parser made anew for each piece forgets the line
-    // that was cut, so splitting must show a difference.
+    // Shows that the split test above can fail: a parser created anew for each piece loses cut
+    // lines.
     const std::string bytes = "data: one\n\ndata: two\n\n";
     std::vector<std::string> events;
     for (const char byte : bytes) {
@@ -278,8 +276,8 @@
 
 TEST_CASE("platformAnswer_versionAsText_isRefused", "[fuzz]")
 {
-    // A proxy before the platform answers in its place with JSON of another shape. Reading the
-    // version threw, on every router's watch at once, and ended each of them.
+    // Guards against JSON of another shape, such as from a proxy in front of the platform. Reading
+    // its version threw an exception on every router's watch at once, and ended each of them.
     CHECK_FALSE(net::parseChanges(R"({"version":"9","objects":[]})"));
     CHECK_FALSE(net::parseChanges(R"({"version":-1,"objects":[]})"));
     CHECK_FALSE(net::parseChanges(R"({"version":9,"objects":{}})"));
--- a/tests/fuzzdocuments.cpp
+++ b/tests/fuzzdocuments.cpp
@@ -29,7 +29,7 @@
      R"({"owner":"o","dataClass":"c","type":"plain","engineCapacity":8,"shards":4,
          "queueMilliseconds":100,"engines":{"model":"x","version":"2","checkFencing":true}})"}};
 
-/// A fault has to be one that an operator can act on: it has a path, and it stays short.
+/// Checks that faults are useful to an operator: each has a path and stays short.
 void checkFaults(const std::vector<Fault> &faults)
 {
     constexpr std::size_t longestFault = 500;
@@ -149,9 +149,9 @@
 
 TEST_CASE("json_hostilelyNested_isAFaultAndNoCrash", "[fuzz]")
 {
-    // A value of the platform may be a megabyte: an entry that is nested 200,000 deep. Copying or
-    // printing such a value recurses once a level, and the stack of every router that watches
-    // the catalogue overflows at the same moment.
+    // Guards against a stack overflow from an entry nested 200,000 deep, as a platform value of a
+    // megabyte may be. Copying or printing such a value recurses once per level, so that every
+    // router that watches the catalogue would crash at the same moment.
     const std::string text = nested(hostileDepth, R"({"owner":)", "}");
     std::vector<Fault> faults;
     CHECK_FALSE(parseJson(text, faults));
@@ -164,8 +164,8 @@
 
 TEST_CASE("json_sameFieldTwice_isAFault", "[fuzz]")
 {
-    // A chat names its model twice. The router would admit it by the last, an engine may run it
-    // by the first: a request would be served that nobody admitted.
+    // Guards against a duplicate "model" field. The router would admit the request by the last one
+    // and an engine might run the first one, which nobody admitted.
     std::vector<Fault> faults;
     CHECK_FALSE(parseJson(R"({"a":{"model":"x","model":"y"}})", faults));
     REQUIRE(faults.size() == 1);
--- a/tests/fuzzing.h
+++ b/tests/fuzzing.h
@@ -12,7 +12,7 @@
 constexpr std::size_t byteRounds = 4000;
 constexpr std::size_t fieldRounds = 4000;
 
-/// Damages valid samples; the same seed gives the same damage on every run.
+/// Mutates valid samples. The same seed gives the same mutations in every run.
 class FuzzFixture
 {
 protected:
@@ -43,7 +43,7 @@
         return sample;
     }
 
-    /// \returns a value that a careless or hostile writer might put in place of another.
+    /// \returns a value that a careless or hostile writer might use in place of another.
     nlohmann::json replacementValue()
     {
         static const std::vector<nlohmann::json> odd{nullptr,
@@ -66,7 +66,8 @@
         return odd[this->randomBelow(odd.size())];
     }
 
-    /// Replaces one value of \a document. \returns its path.
+    /// Replaces one value of \a document.
+    /// \returns its path.
     std::string mutateField(nlohmann::json &document)
     {
         const nlohmann::json flat = document.flatten();
--- a/tests/gatewaycallers.cpp
+++ b/tests/gatewaycallers.cpp
@@ -16,7 +16,7 @@
 class GatewayCallersFixture : public GatewayFixture
 {
 protected:
-    /// Adds a plain upstream that answers every request with its body and keeps what it saw.
+    /// Adds a plain upstream that echoes the body of every request and records the request.
     void addEcho(const std::string &id = "echo-1")
     {
         this->addUpstream(id, "plain", [this](ServerConnection &connection) {
@@ -74,8 +74,8 @@
 TEST_CASE_METHOD(GatewayCallersFixture, "gateway_fieldsThatOnlyTheRouterSets_areDropped",
                  "[gateway]")
 {
-    // A caller claims another workspace and an engine's reserved memory. The upstream must see
-    // what the router knows, never what the caller claims.
+    // Guards against spoofing: a caller sends header fields that claim another workspace or an
+    // engine's reserved memory. The upstream must only see the values that the router sets.
     this->addEcho();
     this->start();
     this->call(makeRequest("/once/x", "a1", "",
@@ -116,9 +116,9 @@
 TEST_CASE_METHOD(GatewayCallersFixture, "gateway_requestWithTwoReadings_reachesNoUpstream",
                  "[gateway]")
 {
-    // A caller hides a second request in the first. The router reads one request, the upstream
-    // would read two, and the second runs under somebody else's name. Whatever two parsers may
-    // read in two ways ends the connection and is not passed on.
+    // Guards against request smuggling: a caller hides a second request in the first. The router
+    // would read one request, the upstream two, and the second would run in the name of another
+    // caller. Any ambiguous message must end the connection and must not be forwarded.
     this->addEcho();
     this->start();
     const std::string head = "POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n"
@@ -155,7 +155,7 @@
         all.append(makeRequest("/safe/x", "a" + std::to_string(i), std::to_string(i)));
     }
     asio::write(socket, asio::buffer(all));
-    // One answer at a time: the fixture's parser keeps no bytes between calls.
+    // Reads by hand, as the fixture's parser keeps no bytes between responses.
     std::string bytes;
     std::array<char, 4096> buffer{};
     while (bytes.find("echo 4") == std::string::npos) {
@@ -195,8 +195,8 @@
 TEST_CASE_METHOD(GatewayCallersFixture, "gateway_callerLeaves_upstreamSeesItsConnectionEnd",
                  "[gateway]")
 {
-    // The caller gives up before the first byte of its answer. The upstream would work on for
-    // nobody, so that its connection must end as soon as the caller's does.
+    // Guards against work for a caller that has disconnected: when it does so before the first byte
+    // of its response, the connection to the upstream must be closed at once.
     std::atomic<bool> begun = false;
     std::atomic<bool> ended = false;
     this->addUpstream("slow-1", "plain", [&begun, &ended](ServerConnection &connection) {
@@ -218,8 +218,8 @@
 TEST_CASE_METHOD(GatewayCallersFixture, "gateway_stop_isNotReadyAndEndsRunningStreamWhole",
                  "[gateway]")
 {
-    // An operator stops a router while a stream runs. The balancer must hear at once that it is
-    // not ready; the stream ends whole, and its connection closes after it.
+    // Guards against streams cut by a planned stop: the load balancer must learn at once that the
+    // router is not ready; the stream must be completed and its connection closed after it.
     std::atomic<bool> goOn = false;
     this->addUpstream("engine-1", "model", [&goOn](ServerConnection &connection) {
         const auto request = connection.read();
@@ -256,8 +256,9 @@
 TEST_CASE_METHOD(GatewayCallersFixture, "gateway_ended_laterSignalsCannotEndTheProcess",
                  "[gateway]")
 {
-    // A router that was stopped gets one more signal while it takes itself apart: its handlers are
-    // gone by then, and the system's disposition would make a clean stop look like a crash.
+    // Guards against a clean stop that looks like a crash: another signal arrives during the
+    // shutdown, when its handlers are already gone and the default disposition would terminate the
+    // process.
     this->start();
     CHECK(this->isSignalBlockedAfterStop(SIGHUP));
     CHECK(this->isSignalBlockedAfterStop(SIGTERM));
--- a/tests/gatewayupstreams.cpp
+++ b/tests/gatewayupstreams.cpp
@@ -15,7 +15,8 @@
 class GatewayUpstreamsFixture : public GatewayFixture
 {
 protected:
-    /// Adds upstreams of \a service whose \a script counts the requests that reach them.
+    /// Adds \a count upstreams of \a service that run \a script for each request, with the number
+    /// of requests so far.
     void
     addCounting(const std::string &service, int count,
                 const std::function<void(ServerConnection &, const ReceivedRequest &, int)> &script)
@@ -38,8 +39,9 @@
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_resetsAfterOnceRequest_isNotAskedAgain",
                  "[gateway]")
 {
-    // An upstream has taken an order and its connection is reset. Nobody can tell whether the
-    // order ran; sent again it may run twice, and "not run" would be a lie.
+    // Guards against a duplicate execution: an upstream accepts an order and resets the connection.
+    // It is unknown whether the order was executed. Sent again it may be executed twice, and a
+    // refusal as "not run" would be wrong.
     this->addCounting("plain", 3, [](ServerConnection &connection, const ReceivedRequest &, int) {
         connection.reset();
     });
@@ -69,9 +71,9 @@
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_failsAndNobodyElseAnswers_failureIsPassedOn",
                  "[gateway]")
 {
-    // The only upstream answers with a failure of its own. The request may be repeated, so that the
-    // router looks for another one and finds none, or one that breaks off. The answer that it has
-    // is the caller's; a 502 in its place would hide what the service said.
+    // Guards against hiding an upstream's own error: the first upstream responds with a failure,
+    // and the retry finds no other upstream or one that resets the connection. The caller must get
+    // the failure, not a 502 of the router.
     this->addCounting("plain", 2,
                       [](ServerConnection &connection, const ReceivedRequest &request, int number) {
                           if (number == 1) {
@@ -134,8 +136,8 @@
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_unsignedOrForeignSuccess_neverReachesCaller",
                  "[gateway]")
 {
-    // Something else listens at the upstream's address, or it answers another request. Its bytes
-    // must not pass for the answer.
+    // Guards against forwarding the bytes of another process at the upstream's address, or the
+    // response to another request.
     this->addCounting(
         "plain", 1, [](ServerConnection &connection, const ReceivedRequest &, int number) {
             if (number == 1) {
@@ -155,8 +157,8 @@
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_lateAnswerOfAnotherAttempt_isSkipped",
                  "[gateway]")
 {
-    // A late second answer to an earlier request arrives where the next one is due. It belongs to
-    // nobody; the right answer still follows on the same connection.
+    // Guards against a mix-up of responses: a late duplicate response to an earlier request arrives
+    // on the connection. It must be skipped; the right response follows on the same connection.
     this->addCounting("plain", 1,
                       [](ServerConnection &connection, const ReceivedRequest &request, int) {
                           connection.send("HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\n"
@@ -219,9 +221,9 @@
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "stream_breaksWithinEvent_goesOnElsewhereWithoutGap",
                  "[gateway]")
 {
-    // An engine dies in the middle of the third event. The caller's stream goes on within the
-    // same answer: the next engine is asked for what follows the second event, and no event is
-    // missing, doubled or torn.
+    // Guards against gaps in a resumed stream: an engine dies in the middle of the third event. The
+    // next engine must be asked to resume after the second event, and the caller must get every
+    // event once and complete, within the same response.
     std::atomic<bool> asked = false;
     this->addCounting(
         "model", 2,
@@ -260,8 +262,9 @@
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstream_cannotBeReached_anotherServesAtOnce",
                  "[gateway]")
 {
-    // An upstream's process is gone and its address refuses connections. Nothing was sent, so
-    // that even a request that may run only once goes to another one.
+    // Guards against a needless failure: an upstream's process is gone and its address refuses
+    // connections. Nothing was sent, so that even a request that must run at most once can go to
+    // another upstream.
     this->addCounting("plain", 1,
                       [](ServerConnection &connection, const ReceivedRequest &request, int) {
                           connection.send(makeResponse(request, "served"));
@@ -276,9 +279,9 @@
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "stream_keeperSilentAfterFailedAttempt_isServedElsewhere",
                  "[gateway]")
 {
-    // An engine breaks a stream off just before its silence would count against it. The router
-    // asks the next engine's keeper, which has died unnoticed. The look at the first attempt comes
-    // due while nobody has the request: it once ended the whole process.
+    // Guards against a crash of the router: an engine resets a stream just before its silence
+    // timeout. While the router waits for the next engine's coordinator, which is down, the timer
+    // of the first attempt fires with no upstream set, which once terminated the process.
     this->addCounting(
         "model", 4, [](ServerConnection &connection, const ReceivedRequest &request, int number) {
             if (number % 2 == 1) {
@@ -305,10 +308,10 @@
 TEST_CASE_METHOD(GatewayUpstreamsFixture, "upstreams_crashOnOneRequest_areSparedItSoon",
                  "[gateway]")
 {
-    // One request crashes each upstream that begins to run it, and its caller sends it again at
-    // once. The router looks at an upstream whose answer broke off, so that it knows of each crash
-    // before the next call, and holds the request back. A look only when the next request happens
-    // to be placed there came seconds later, and the caller took down upstream after upstream.
+    // Guards against one request that crashes upstream after upstream: its caller retries at once.
+    // The router must probe an upstream whose response broke off, so that it knows of the crash
+    // before the next attempt and quarantines the request. A crash that was only noticed when the
+    // next request happened to be sent there was noticed seconds too late.
     constexpr int count = 6;
     std::vector<ScriptedServer *> servers(count, nullptr);
     for (int i = 0; i < count; ++i) {
@@ -333,7 +336,7 @@
             this->call(makeRequest("/safe/x", "p" + std::to_string(number), "poison"));
         CHECK((answer.status == 502 || answer.status == 503));
     }
-    // The third call may still be on its way to a fourth upstream when the third one is looked at.
+    // The third call may already be on its way to a fourth upstream when the third one is probed.
     CHECK(this->requests <= 4);
     CHECK(this->call(makeRequest("/safe/x", "b1", "body")).status == 200);
 }
--- a/tests/httpclient.cpp
+++ b/tests/httpclient.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Owns its exchange and is owned by its callbacks, as a request on its way is.
+/// Owns its exchange and is owned by its callbacks, like a request handler.
 struct Owner
 {
     std::shared_ptr<HttpExchange> exchange;
@@ -30,9 +30,8 @@
 
 TEST_CASE("httpClient_endedBeforeExchangeBegan_letsGoOfItsOwner", "[httpclient]")
 {
-    // A router is killed between the start of an exchange and its first step. The caller sees its
-    // connection break; the request and its exchange, which own each other, must go with the
-    // router, or each kill under load leaves some behind.
+    // Guards against a leak when a router is killed between the start of an exchange and its first
+    // step. The request and its exchange own each other and must be destroyed with the router.
     std::weak_ptr<Owner> owner;
     {
         asio::io_context context;
--- a/tests/inforce.cpp
+++ b/tests/inforce.cpp
@@ -12,7 +12,7 @@
     return {{EntryKind::DataClass, "regulated"}, version, DataClass{"o", {place}, 0}};
 }
 
-/// A table that takes whatever comes last, as it must not.
+/// A deliberately broken table that accepts whatever arrives last.
 class LastWinsTable
 {
 public:
@@ -33,8 +33,9 @@
     CatalogueTable table;
 };
 
-/// The platform's edits reach a table late, doubled and out of order, from peers and old lists.
-/// \returns whether the version in force ever fell.
+/// Delivers the platform's edits to a table late, duplicated and out of order, from peers and stale
+/// lists.
+/// \returns whether the version in force ever decreased.
 template<typename Table>
 bool versionFalls(const std::vector<std::uint64_t> &history)
 {
@@ -72,8 +73,8 @@
 
 TEST_CASE_METHOD(InForceFixture, "inForce_unreadableEdit_keepsLastGoodAndTakesOthers", "[inforce]")
 {
-    // One batch holds an entry that this version can't read and one that it can. The first keeps
-    // its last good text in force and is handed on as it came; the second is taken.
+    // One batch holds an entry that this version can't parse and one that it can. The first keeps
+    // its last good body in force and is passed on unchanged; the second is merged.
     this->table.merge({classAt(1, "hall-a")});
     const Entry unread{{EntryKind::DataClass, "regulated"}, 2, std::nullopt, "{\"new\":1}"};
     const Entry other{{EntryKind::DataClass, "other"}, 3, DataClass{"o", {"hall-b"}, 0}};
@@ -88,8 +89,8 @@
 
 TEST_CASE_METHOD(InForceFixture, "inForce_neverConfirmed_countsAsStale", "[inforce]")
 {
-    // A router starts from its peers while the platform is down. Nobody fresh ever confirmed what
-    // it got, so a class with a limit must not be served by it.
+    // A router starts from its peers while the platform is down. No router with a fresh catalogue
+    // ever confirmed what it got, so a class with a staleness limit must not be served with it.
     this->table.merge({classAt(1, "hall-a")});
     this->table.markComplete(1, std::nullopt);
     CHECK(this->table.staleness(this->clock.now()) == Duration::max());
@@ -105,8 +106,8 @@
 
 TEST_CASE_METHOD(InForceFixture, "inForce_peerOrPlatformBehind_doesNotConfirm", "[inforce]")
 {
-    // The platform was set back to an older copy; it and whoever asked it are fresh, but of a
-    // catalogue that this router has left behind.
+    // The platform was rolled back to an older copy. It and its readers are fresh, but with a
+    // catalogue older than this router's.
     this->table.markComplete(5, this->clock.now());
     this->clock.advance(Seconds{100});
     this->table.markConfirmed(4, this->clock.now());
--- a/tests/keeper.cpp
+++ b/tests/keeper.cpp
@@ -27,8 +27,8 @@
 
 TEST_CASE_METHOD(KeeperFixture, "keeper_repeatedAsk_getsSameGrantOnce", "[keeper]")
 {
-    // A router's first datagram is answered, but the answer is lost, so it asks again.
-    // Counting twice would leave a slot behind that nobody gives back.
+    // The reply to a router's first request is lost, so it repeats the request. Counting it twice
+    // would leak a slot.
     const SlotReply first = grantSlot(this->state, 1, this->askOf(1, 5), this->view, this->now);
     const SlotReply second = grantSlot(this->state, 1, this->askOf(1, 5), this->view, this->now);
     CHECK(first.verdict == SlotVerdict::Granted);
@@ -92,8 +92,8 @@
 
 TEST_CASE_METHOD(KeeperFixture, "keeper_displacedChat_returnsWhereItRan", "[keeper]")
 {
-    // A chat's engine is full, so it runs elsewhere and its prefix is cached there. When it comes
-    // back, the first engine has room again; going there would lose the prefix a second time.
+    // A chat's engine is full, so it runs on another one, which caches its prefix. When it returns,
+    // the first engine has capacity again; going there would lose the prefix a second time.
     const auto first = grantSlot(this->state, 1, this->askOf(1, 5), this->view, this->now);
     const auto second = grantSlot(this->state, 1, this->askOf(2, 5), this->view, this->now);
     REQUIRE(first.upstream != second.upstream);
@@ -105,8 +105,9 @@
 
 TEST_CASE_METHOD(KeeperFixture, "keeper_failedEngine_getsNothingForASecond", "[keeper]")
 {
-    // An engine died; the first asker says so by its list of engines to avoid. The dead engine
-    // has no load, and would otherwise draw every request that looks for the least loaded one.
+    // An engine died; the first request says so through its list of engines to avoid. The dead
+    // engine has no load, and would otherwise attract every request that goes to the least loaded
+    // one.
     SlotRequest retry = this->askOf(1, 5);
     retry.avoid = {22};
     grantSlot(this->state, 1, retry, this->view, this->now);
@@ -120,8 +121,8 @@
 
 TEST_CASE("keeperTable_otherShardHeard_boundIsThePools", "[keeper]")
 {
-    // Two shards of one pool. The other one is idle, so this one is above the pool's mean long
-    // before it is above its own, and its requests overflow to the other.
+    // Two shards of one pool. The other one is idle, so this one exceeds the pool's mean long
+    // before its own, and its requests overflow to the other.
     ShardCoordinator keeper;
     const Shard own{"model", "hall-a", 0};
     const GrantContext view{{11, 22}, {}, false};
--- a/tests/keeperloss.cpp
+++ b/tests/keeperloss.cpp
@@ -47,9 +47,9 @@
 
 TEST_CASE_METHOD(KeeperLossFixture, "router_keepersKilled_chatsGoOnAtOnce", "[keeperloss]")
 {
-    // Two routers die without a word, and with them the counts of the shards they kept. Until
-    // their heartbeats are missed, asks to them stay without an answer. The caller sees a little
-    // delay and its answer: the next router in the shard's order stands in.
+    // Guards against stalled chats when coordinators are killed. Until their missed heartbeats are
+    // noticed, requests to them get no reply; the next router in the shard's order takes over after
+    // a short delay.
     this->fleet.killRouter(1);
     this->fleet.killRouter(2);
     CHECK(this->served(0, "token-lowther-0") == chats);
@@ -57,8 +57,8 @@
 
 TEST_CASE_METHOD(KeeperLossFixture, "router_alone_servesOnItsOwnCount", "[keeperloss]")
 {
-    // Every other router is gone at once. None of the keepers in reach answers, and still no
-    // caller is refused: the last router grants carefully by its own count.
+    // Guards against refusals when all other routers, and thus all coordinators, are killed at
+    // once: the remaining router grants conservatively by its own count.
     for (std::size_t router = 1; router < this->fleet.layout.size(); ++router) {
         this->fleet.killRouter(router);
     }
--- a/tests/limits.cpp
+++ b/tests/limits.cpp
@@ -11,7 +11,8 @@
 
 constexpr WorkspaceId workspace = 77;
 
-/// Routers and owners over a link that loses, delays and repeats; each sees its own fleet.
+/// Routers and owners over a link that loses, delays and duplicates; each has its own view of the
+/// fleet.
 struct LimitWorld
 {
     struct Message
@@ -125,7 +126,7 @@
 constexpr Milliseconds step{50};
 constexpr std::size_t routers = 6;
 
-/// Drives a generated history. \returns whether the sum stayed within the stated factor.
+/// Drives a generated history. \returns whether the sum stayed within the documented factor.
 bool sumStaysBounded(bool brokenLateAnswers)
 {
     LimitWorld world(routers);
@@ -135,7 +136,7 @@
         const std::size_t router = random % routers;
         world.arrive(router, random / routers % 40);
         world.report(router, Milliseconds(random / 7 % 1500));
-        // Owner 1 follows owner 0; each router learns of it at a time of its own.
+        // Owner 1 replaces owner 0; each router learns of it at its own time.
         if (random % 97 == 0) {
             world.ownerSeenBy[router] = 1;
             world.fleet[1].changedAt = world.clock.now();
@@ -188,9 +189,9 @@
 
 TEST_CASE("limits_anyLossDelayAndOwnerChange_sumStaysWithinFactor", "[limits]")
 {
-    // Reports and answers are lost, delayed past each other, and the routers learn at different
-    // times that another router divides the limit. Two owners then hand out one limit each; a
-    // third limit's worth must never appear, or a surging workspace takes the engines of all.
+    // Reports and replies are lost or reordered, and the routers learn at different times that
+    // another router divides the limit. Two owners then hand out one limit each. The sum must never
+    // exceed that, or a surging workspace takes the engines of all.
     CHECK(rc::check("the sum of all parts", [] { RC_ASSERT(sumStaysBounded(false)); }));
 }
 
@@ -201,8 +202,8 @@
 
 TEST_CASE_METHOD(LimitFixture, "limits_trafficMovesToOneRouter_shareFollows", "[limits]")
 {
-    // A workspace of 100 requests a second first calls every router, then only one of them.
-    // The one must get nearly the whole limit soon, and together they never get more.
+    // A workspace with 100 requests a second first calls every router, then only one of them. That
+    // one must soon get nearly the whole limit, and together they never get more.
     this->offer(10 * stepsInSecond, std::vector<std::size_t>(routers, 2));
     std::vector<std::size_t> one(routers, 0);
     one[2] = 12;
@@ -214,8 +215,8 @@
 
 TEST_CASE_METHOD(LimitFixture, "limits_partition_islandsTogetherStayWithinLimit", "[limits]")
 {
-    // The fleet falls into two parts; each elects an owner and sees three routers of the six
-    // that it knew. Were the limit divided by the routers in sight, it would be admitted twice.
+    // The fleet splits into two parts; each elects an owner and sees three of the six known
+    // routers. If the limit were divided by the visible routers, it would be admitted twice.
     this->offer(10 * stepsInSecond, std::vector<std::size_t>(routers, 2));
     for (std::size_t router = 3; router < routers; ++router) {
         this->world.island[router] = 1;
--- a/tests/limitsfleet.cpp
+++ b/tests/limitsfleet.cpp
@@ -49,8 +49,8 @@
     return deployment;
 }
 
-/// Until all routers know each other they may disagree about owner and keeper.
-/// Lets router 0 run a long chat, then sends a short one to router 1.
+/// Lets router 0 run a long chat, then sends a short one to router 1. The routers must have met:
+/// until all know each other they may disagree about owner and coordinator.
 /// \returns the answers to both.
 std::pair<net::HttpResponse, net::HttpResponse> chatBehindLongOne(Fleet &fleet)
 {
@@ -68,8 +68,9 @@
 
 TEST_CASE("limits_surgeOverAllRouters_staysWithinStatedFactor", "[limitsfleet]")
 {
-    // A workspace of 20 requests a second calls three routers as fast as it can. Each router
-    // sees a third only; together they must not admit more than the stated multiple.
+    // Guards against routers admitting more than limitFactor times a workspace's limit in sum. A
+    // workspace with 20 requests a second calls three routers as fast as it can, and each sees only
+    // a third.
     Fleet fleet(limitedDeployment());
     REQUIRE(fleet.startAndConverge());
     constexpr int calls = 250;
@@ -119,8 +120,8 @@
 
 TEST_CASE("orders_catalogueNamesVersion_allEnginesTakeItOn", "[limitsfleet]")
 {
-    // An operator names a version in the catalogue. In each place one router takes the lease
-    // and orders the engines one after the other until all have read back as wanted.
+    // Guards against engines that don't reach the version that the catalogue sets. In each data
+    // centre the router that holds the lease orders one engine after another until all report it.
     Deployment deployment = deploymentWith(6);
     const std::string wanted = "7";
     Service &service = bodyOf<Service>(deployment, deployment.modelService);
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -52,7 +52,7 @@
     return options;
 }
 
-/// Checks what a run of the membership has to show.
+/// Checks the invariants of a membership run.
 bool isSound(const MembersReport &report)
 {
     const bool inTime = std::all_of(report.fleetSeconds.begin(), report.fleetSeconds.end(),
@@ -64,9 +64,9 @@
 
 TEST_CASE("members_deathsUnderLoss_areKnownEverywhereAndNobodyElseIs", "[members]")
 {
-    // Routers die without a word while one datagram in twenty is lost. Keepers are chosen among
-    // the live routers, so all have to agree on who is gone within seconds, and a living router
-    // that was held for gone would lose its keeper work while it serves.
+    // Routers crash while one datagram in twenty is lost. Coordinators are chosen among the live
+    // routers, so all must agree within seconds on who is gone, and a live router declared gone
+    // would lose its coordinator role while it serves.
     const bool sound = rc::check("deaths are found, the living are not buried", [] {
         MembersOptions options = smallRun();
         options.seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
@@ -77,7 +77,8 @@
 
 TEST_CASE("members_withoutSuspicionOrHelpers_checkFails", "[members]")
 {
-    // The broken variant buries a member at its first unanswered probe; the check must see it.
+    // The broken variant declares a member gone at its first unanswered probe; the check must
+    // detect it.
     MembersOptions options = smallRun();
     options.settings.indirectProbes = 0;
     options.settings.suspicionTimeout = Duration{0};
@@ -86,8 +87,8 @@
 
 TEST_CASE("members_placeCutOffAndBack_knowEachOtherAgain", "[members]")
 {
-    // A place loses the others for 20 s; each side holds the other for gone and goes on. Once
-    // they can speak again, nobody would speak to a gone member: the listed addresses do it.
+    // A data centre is cut off for 20 s; each side declares the other gone and goes on. After the
+    // partition heals, neither side would contact a gone member; the pings to seeds do.
     MembersOptions options = smallRun();
     options.seconds = 120;
     options.cutSeconds = 20;
@@ -116,8 +117,8 @@
 
 TEST_CASE_METHOD(SwimFixture, "swim_restartedMember_reportsOldProcessGoneAndNewJoined", "[members]")
 {
-    // A router restarts faster than it is missed. Slots of the old process must come back to
-    // their keepers although the id never vanished.
+    // A router restarts before its failure is detected. Slots of the old process must be released
+    // at their coordinators although the id never vanished.
     Heartbeat restarted = routerOf("peer", 2);
     restarted.incarnation = 2;
     const SwimOutput output = this->hear(restarted);
@@ -128,8 +129,8 @@
 
 TEST_CASE_METHOD(SwimFixture, "swim_pausedRouter_buriesNobody", "[members]")
 {
-    // This process is paused for half a minute with a probe open and a peer under suspicion.
-    // After it, all looks overdue although only this router was away.
+    // This process is paused for half a minute with a pending probe and a suspected peer. After the
+    // pause every timeout looks expired, although only this router was paused.
     static_cast<void>(swimTick(this->state, this->settings, {}, this->now));
     this->hear(routerOf("other", 4), {{routerOf("peer", 2), MemberState::Suspect}});
     this->now += Seconds{30};
@@ -152,8 +153,8 @@
 
 TEST_CASE("vmList_emptyOrCutList_dropsNothing", "[members]")
 {
-    // The platform hands out an empty list, then one cut in the middle. Dropping what is missing
-    // would refuse every request at once.
+    // The platform returns an empty list, then a truncated one. Dropping the missing VMs would
+    // refuse every request at once.
     VmTable table;
     VmPollState polls;
     std::vector<Vm> whole;
--- a/tests/membersnapshot.cpp
+++ b/tests/membersnapshot.cpp
@@ -17,7 +17,7 @@
     return heartbeat;
 }
 
-/// What a router may say of itself, or others of it, by few values so that they meet.
+/// Heartbeats that a router may send about itself or others, from few values so that they collide.
 Heartbeat anyRouter()
 {
     Heartbeat heartbeat = routerOf(*rc::gen::element<std::string>("a", "b", "c", "own"));
@@ -74,9 +74,10 @@
 
 TEST_CASE("snapshot_anyHistory_isWhatTheTableKnows", "[members]")
 {
-    // Messages and pauses change the members in any order while the snapshot is kept. A change
-    // that the snapshot misses would send asks to a keeper that left, or past one that joined,
-    // until the next change; so it is compared with the whole table after each step.
+    // Messages and pauses change the members in any order while the snapshot is cached. A change
+    // missing from the snapshot would send requests to a coordinator that left, or past one that
+    // joined, until the next change. The snapshot is therefore compared with the whole table after
+    // each step.
     const bool sound = rc::check("the snapshot follows the table", [] {
         MemberTable members;
         Heartbeat own = routerOf("own");
--- a/tests/metrics.cpp
+++ b/tests/metrics.cpp
@@ -52,9 +52,9 @@
 
 TEST_CASE_METHOD(MetricsFixture, "metrics_bucketsLeftOut_leaveSumsCumulative", "[metrics]")
 {
-    // A scraper adds the buckets of two workspaces edge by edge and takes a quantile. A bucket
-    // left out above a first sample would lack from the sum, so that a higher edge has a lower
-    // count than the one below it.
+    // A scraper adds the buckets of two workspaces edge by edge and computes a quantile. A bucket
+    // omitted above a first sample would be missing from the sum, so that a higher edge would have
+    // a lower count than the one below it.
     this->record("w", Milliseconds{20});
     this->record("v", Milliseconds{2000});
     const auto samples = this->page();
--- a/tests/operatorapply.cpp
+++ b/tests/operatorapply.cpp
@@ -25,7 +25,7 @@
 constexpr const char *field = "maxStaleSeconds";
 const EntryKey edited{EntryKind::DataClass, "regulated"};
 
-/// Takes what is written to standard output.
+/// Captures what is written to standard output.
 class Printed
 {
 public:
@@ -59,7 +59,7 @@
     Operator(const Operator &) = delete;
     Operator &operator=(const Operator &) = delete;
 
-    /// Reads the entry into the file.
+    /// Reads the entry from the platform into the file.
     void read() { this->write(toJson(*this->platform.get(edited).object)); }
     [[nodiscard]] nlohmann::json file() const
     {
@@ -98,10 +98,9 @@
 
 TEST_CASE_METHOD(ApplyFixture, "apply_afterAnothersEdit_isToldAndLosesNothing", "[operatorapply]")
 {
-    // Two operators read the same version of an entry. The first shortens the staleness, the
-    // second takes a place away, unaware of it. Written over, the first edit would be gone
-    // without a word; the second operator must be told what is there, keep the file, and be able
-    // to apply it again on top of the other's.
+    // Guards against overwriting another operator's edit. Two operators read the same version of an
+    // entry and edit different fields. The second must be told what is stored, keep its file, and
+    // be able to apply its edit on top of the first one.
     Operator first(this->fleet, 1);
     Operator second(this->fleet, 2);
     first.read();
@@ -131,8 +130,8 @@
 
 TEST_CASE_METHOD(ApplyFixture, "apply_manyOperatorsAtOnce_noEditIsLost", "[operatorapply]")
 {
-    // Several operators each add one to the same field, and read and apply again whenever they
-    // hear that they lost the race. An edit written over unseen would be missing from the sum.
+    // Guards against lost updates: several operators each add one to the same field, and read and
+    // apply again after every conflict. An edit that was overwritten would be missing from the sum.
     std::atomic<std::uint32_t> unexpected = 0;
     const auto run = [&](std::uint32_t number) {
         Operator self(this->fleet, number);
@@ -162,14 +161,15 @@
 TEST_CASE_METHOD(ApplyFixture, "apply_answerLost_isUnknownAndSecondApplyWritesNothing",
                  "[operatorapply]")
 {
-    // The platform takes an edit and its answer is lost. The operator must not hear "not
-    // written"; applying the same file again is told of its own edit and writes nothing.
+    // Guards against reporting "not written" when the platform takes an edit but its response is
+    // lost. Applying the same file again reports the conflict with the operator's own edit and
+    // writes nothing.
     Operator self(this->fleet, 1);
     self.read();
     self.change(field, 60);
     this->fleet.setFaults({{"loseAnswers", 1}});
     int exit = exitOk;
-    // Another write, such as a router's status, may have been the one whose answer was lost.
+    // The lost response may have been that of another write, such as a router's status.
     REQUIRE(Fleet::eventually([&] {
         exit = self.apply();
         if (exit == exitOk) {
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -25,7 +25,7 @@
         , platform("http://" + toText(platformOf(this->fleet.deployment)))
     {}
 
-    /// \returns what get prints.
+    /// \returns what `plantainctl get` prints.
     std::string printed(TokenVisibility tokens)
     {
         std::ostringstream text;
@@ -56,8 +56,9 @@
 TEST_CASE_METHOD(OperatorsFixture, "operators_racingEdits_oneWinsEachRoundAndNoneIsLost",
                  "[operators]")
 {
-    // Two operators edit the same entry again and again, each by the version it has read. A write
-    // over an unseen edit would lose it silently; the loser must be told what is there instead.
+    // Guards against lost updates: two operators repeatedly edit the same entry, each by the
+    // version it has read. The loser of each round must get the stored object instead of
+    // overwriting it.
     std::atomic<std::uint32_t> written = 0;
     const std::uint64_t first = this->platform.get(this->regulated).object->version;
     const auto edit = [this, &written](BlockingPlatformClient &calls) {
@@ -116,8 +117,8 @@
 
 TEST_CASE_METHOD(OperatorsFixture, "apply_hiddenMark_keepsTheStoredToken", "[operators]")
 {
-    // An operator reads a workspace without its token, edits a limit and applies the file. The
-    // mark written as a token would lock all callers of the workspace out.
+    // Guards against storing the placeholder of a hidden token as the token when an operator
+    // applies an edited file. That would lock out all callers of the workspace.
     auto file = nlohmann::json::parse(this->printed(TokenVisibility::Hidden));
     file["body"]["weight"] = 7;
     REQUIRE(this->apply(file) == exitOk);
@@ -128,7 +129,7 @@
 
 TEST_CASE_METHOD(OperatorsFixture, "apply_hiddenMarkAfterTokenChanged_losesTheRace", "[operators]")
 {
-    // The token is changed between one operator's get and apply. The old one must not come back.
+    // Guards against restoring an old token that was changed between an operator's get and apply.
     const auto file = nlohmann::json::parse(this->printed(TokenVisibility::Hidden));
     auto newer = nlohmann::json::parse(this->printed(TokenVisibility::Shown));
     newer["body"]["token"] = "token-renewed";
--- a/tests/orders.cpp
+++ b/tests/orders.cpp
@@ -29,14 +29,14 @@
     }
 
     std::optional<LeaseObject> object;
-    /// Ignores the condition and doesn't count versions.
+    /// Ignores the condition and doesn't increment versions.
     bool broken = false;
 };
 
-/// A router that gives orders, with the order it was about to send when it was paused.
+/// A router that sends orders, with the order that it was about to send when it was paused.
 struct Orderer
 {
-    /// One round up to the moment before sending. \returns the fencing number to send under.
+    /// One round up to the moment before sending. \returns the fencing token to send with.
     std::optional<std::uint64_t> round(LeaseStore &store, bool enginesCheck, TimePoint now,
                                        bool answerLost = false)
     {
@@ -61,7 +61,7 @@
 class OrderFixture
 {
 protected:
-    /// Lets an orderer go on until it may send. \returns its fencing number.
+    /// Runs an orderer until it may send. \returns its fencing token.
     std::uint64_t untilAllowed(Orderer &orderer)
     {
         std::optional<std::uint64_t> fencing;
@@ -72,8 +72,9 @@
         return *fencing;
     }
 
-    /// The first orderer is paused with an order in hand; the second takes over and orders.
-    /// \returns the first one's number.
+    /// The first orderer is paused with a prepared order; the second acquires the lease and sends
+    /// its own.
+    /// \returns the first one's token.
     std::uint64_t takeOverDuringPause()
     {
         const std::uint64_t old = this->untilAllowed(this->first);
@@ -100,8 +101,8 @@
     return readings;
 }
 
-/// Drives two orderers with pauses and lost answers at one engine.
-/// \returns whether numbers never fell at the engine and each number had one sender.
+/// Drives two orderers with pauses and lost responses at one engine.
+/// \returns whether tokens never decreased at the engine and each token had one sender.
 bool fencingHolds(bool engineChecks, bool brokenStore)
 {
     ManualClock clock;
@@ -118,7 +119,7 @@
         Orderer &orderer = orderers.at(step % 2);
         clock.advance(Milliseconds{step * 7});
         if (orderer.inHand && step % 3 != 0) {
-            // Awake again: it still believes what it decided before the pause.
+            // Resumed: it still acts on what it decided before the pause.
             if (engine.order(orderer.wanted, *orderer.inHand)) {
                 const auto [known, fresh] = senders.emplace(*orderer.inHand, orderer.self);
                 if (!fresh && known->second != orderer.self) {
@@ -137,8 +138,9 @@
 
 TEST_CASE_METHOD(OrderFixture, "orders_pausedOrderer_checkingEngineRefusesOldNumber", "[orders]")
 {
-    // An orderer decides, is paused past its lease, and wakes still believing. Meanwhile
-    // another took the lease and gave a newer order. The engine sees an old number and refuses.
+    // An orderer decides, is paused until after its lease expires, and resumes with its old view.
+    // Meanwhile another router acquired the lease and sent a newer order. The engine sees an old
+    // token and refuses.
     const std::uint64_t old = this->takeOverDuringPause();
     CHECK_FALSE(this->engine.order(this->first.wanted, old));
     CHECK(this->engine.current.version == "2");
@@ -147,9 +149,9 @@
 TEST_CASE_METHOD(OrderFixture, "orders_pausedOrderer_ignoringEngineIsRepairedByReadBack",
                  "[orders]")
 {
-    // The same with an engine that ignores the number and a pause longer than the stated one.
-    // The old order is carried out, which nobody can prevent; the holder reads the engine
-    // back, finds the old state, and orders again. Only the end state is right.
+    // The same with an engine that ignores the token and a pause longer than the configured
+    // maximum. The old order is executed, which nothing can prevent. The holder reads the engine
+    // back, finds the old state and orders again. Only the final state is right.
     this->engine.checksFencing = false;
     const std::uint64_t old = this->takeOverDuringPause();
     CHECK(this->engine.order(this->first.wanted, old));
--- a/tests/pausewatch.cpp
+++ b/tests/pausewatch.cpp
@@ -9,8 +9,8 @@
 class PauseWatchFixture
 {
 protected:
-    /// Takes a turn after \a step, of which the monotonic clock misses \a frozen; the next one is
-    /// due 250 ms later.
+    /// Ticks after \a step, of which the monotonic clock misses \a frozen. The next tick is due 250
+    /// ms later.
     std::optional<Pause> turn(Milliseconds step, Milliseconds frozen = Milliseconds{0})
     {
         this->clock.advance(step - frozen);
--- a/tests/peerloads.cpp
+++ b/tests/peerloads.cpp
@@ -53,8 +53,8 @@
 
 TEST_CASE_METHOD(PeerLoadsFixture, "peerLoads_goneRouter_isForgottenWithItsLoads", "[routing]")
 {
-    // A router dies with requests on an engine. Its connections end with it; counted for ever,
-    // its share would keep work away from an idle engine.
+    // A router fails while it has requests on an engine; they end with its connections. Guards
+    // against counting its load forever, which would keep requests away from an idle engine.
     this->loads.applyUpdate(newsOf("a", 1, 2));
     CHECK(this->loads.routerCount() == 1);
     this->loads.removeRouter("a");
--- a/tests/plainclient.cpp
+++ b/tests/plainclient.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Longer than any test may run: a call that is only ended by it fails its test.
+/// Longer than any test may run: a call that only ends by this timeout fails its test.
 constexpr Milliseconds endless{600'000};
 constexpr Milliseconds shortSilence{50};
 
@@ -42,9 +42,9 @@
 TEST_CASE_METHOD(PlainClientFixture, "call_serverFallsSilent_endsLongBeforeTheWholeLimit",
                  "[gateway]")
 {
-    // A data centre is cut off. Its routers were heard a moment ago, and one of them is asked for
-    // what it knows of the store: it takes the call and never answers. Were the whole limit waited
-    // for, upstreams that begin to leave meanwhile would get requests for seconds.
+    // Guards against long waits for a router behind a new partition: it was heard of a moment ago,
+    // seems to accept the call and never responds. With the total timeout alone, upstreams that
+    // begin to drain meanwhile would still get requests for seconds.
     ScriptedServer silent([](ServerConnection &connection) { connection.waitForEnd(); });
     const CallReply reply = this->call(silent.endpoint(), {endless, shortSilence});
     CHECK(reply.status == 0);
--- a/tests/promptload.cpp
+++ b/tests/promptload.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Three seeds: one lucky run proves nothing.
+/// Several seeds, because a single run may pass by chance.
 constexpr std::uint64_t seeds = 3;
 
 class PromptLoadFixture
@@ -19,7 +19,8 @@
         return playPromptLoad(this->load, SelectionPolicy{});
     }
 
-    /// Plays all seeds: hardly a token is read twice, and no engine holds more than its bound.
+    /// Runs all seeds. At most 2% of the tokens may be prefilled again, and no engine may exceed
+    /// its load bound.
     void checkReadOnce()
     {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -36,17 +37,18 @@
 
 TEST_CASE_METHOD(PromptLoadFixture, "promptLoad_returningHistories_areReadOnce", "[routing]")
 {
-    // 120 histories of 6,100 tokens fill most of the memory of nine engines, and each comes back
-    // every few seconds. Reading one anew delays all others on its engine by 55 ms. What spills
-    // over from a full engine goes to the chain's next one, which copies it: chosen by load alone,
-    // the same chains were in so many engines that 600,000 tokens were read again for want of room.
+    // 120 histories of 6,100 tokens fill most of the cache of nine engines, and each recurs every
+    // few seconds. Prefilling one again delays all other requests on its engine by 55 ms. Requests
+    // that overflow a full engine go to the next engine of their preference list, which copies the
+    // cache. Guards against choosing the overflow engine by load alone: the same prefixes were then
+    // cached on so many engines that 600,000 tokens were evicted and prefilled again.
     this->checkReadOnce();
 }
 
 TEST_CASE_METHOD(PromptLoadFixture, "promptLoad_oneHistoryOfAThird_isCopiedNotReadAgain",
                  "[routing]")
 {
-    // A third of all requests ask for one history, more than one engine may hold at once.
+    // A third of all requests share one history, more than one engine's load bound allows.
     this->load.hotShare = 0.3;
     this->checkReadOnce();
 }
@@ -54,8 +56,8 @@
 TEST_CASE_METHOD(PromptLoadFixture, "promptLoad_enginesReplaced_onlyTheirOwnIsReadAgain",
                  "[routing]")
 {
-    // Nine engines vanish one after the other and empty ones take their place. What only a lost one
-    // had must be read again, some 90,000 tokens each; the empty ones copy what others still have.
+    // Nine engines are replaced one after the other by empty ones. Only what no other engine has
+    // cached may be prefilled again, some 90,000 tokens each; the rest has to be copied.
     this->load.replaced = 9;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const PromptLoadResult result = this->play(seed);
--- a/tests/reachability.cpp
+++ b/tests/reachability.cpp
@@ -12,8 +12,8 @@
 
 constexpr std::string_view cutPlace = "hall-f";
 
-/// One router of a large fleet: six data centres with 30 routers and 13 engines each. It sends few
-/// requests to each engine.
+/// A router of a large fleet with six data centres, each with 30 routers and 13 engines. It sends
+/// few requests to each engine.
 class CutDataCentreFixture
 {
 protected:
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Takes the updates that come within one turn: those of near routers each half second, those
-    /// of far ones each 2.7 s.
+    /// Delivers the updates of one turn: routers of the own data centre send one each half second,
+    /// the others one each 2.7 s.
     void receiveUpdates(int turn, bool isCut)
     {
         int address = 0;
@@ -64,7 +64,8 @@
                               now);
     }
 
-    /// Places one request about one of many subjects. \returns whether it went behind the cut.
+    /// Selects an upstream for one request with one of many shared prefixes. \returns whether it
+    /// went to the data centre that is cut off.
     bool place(bool isCut)
     {
         const TimePoint now = this->clock.now();
@@ -83,7 +84,7 @@
         return false;
     }
 
-    /// Does what a router does with its judgement; its probes fail.
+    /// Applies the reachability to the upstreams as a router does; its probes fail.
     void judge()
     {
         const TimePoint until = this->clock.now() + Milliseconds{600};
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Plays a cut of some seconds. \returns the requests that went behind it.
+    /// Simulates a partition of some seconds. \returns the number of requests sent to the data
+    /// centre that is cut off.
     int play(bool isJudged)
     {
         constexpr int turnsBefore = 100;
@@ -134,8 +136,8 @@
 TEST_CASE_METHOD(CutDataCentreFixture, "reachability_dataCentreCutUnderLoad_costsFewRequests",
                  "[routing]")
 {
-    // Pattern: a data centre is cut off from a fleet whose routers each send it a few requests a
-    // second. Guards against each router's finding out engine by engine, a time-out each.
+    // A data centre is cut off from a fleet whose routers each send it a few requests per second.
+    // Guards against each router detecting this engine by engine, with a timeout for each.
     CHECK(this->play(true) <= 3);
 }
 
@@ -148,7 +150,7 @@
 TEST_CASE_METHOD(CutDataCentreFixture, "reachability_onlyThisRouterStoodStill_nothingIsCutOff",
                  "[routing]")
 {
-    // Guards against a frozen or overloaded router that takes its own pause for a cut.
+    // Guards against a paused or overloaded router that takes its own pause for a partition.
     for (int turn = 0; turn < 60; ++turn) {
         this->receiveUpdates(turn, false);
         this->clock.advance(Milliseconds{100});
@@ -178,7 +180,7 @@
 
 TEST_CASE("reachability_answerFromThere_endsTheMark", "[routing]")
 {
-    // Guards against a data centre that stays without work after its cut is over.
+    // Guards against a data centre that gets no requests after the partition has ended.
     ManualClock clock;
     clock.advance(Seconds{100});
     UpstreamState upstream;
--- a/tests/replicadirectory.cpp
+++ b/tests/replicadirectory.cpp
@@ -26,7 +26,8 @@
         return this->directory.all().contains(id);
     }
 
-    /// \returns until when entries that lapsed in an outage which is just over may come back.
+    /// \returns the time until which entries that expired in an outage that has just ended may be
+    /// listed again.
     [[nodiscard]] TimePoint soon() const { return this->clock.now() + missingGracePeriod; }
 
     ReplicaDirectory directory;
@@ -47,9 +48,9 @@
 TEST_CASE_METHOD(ReplicaDirectoryFixture, "replicas_lapsedDuringOutage_areKeptUntilTheyAreBack",
                  "[routing]")
 {
-    // The store is away for seconds, and entries that could not be renewed lapse. Its first list
-    // lacks live upstreams, which are back within two seconds. A router that dropped them would
-    // refuse requests though their upstreams work.
+    // The store is unavailable for some seconds, so that entries expire that could not be renewed.
+    // Its first list lacks live upstreams, which are listed again within two seconds. Guards
+    // against removing them and rejecting requests although their upstreams are running.
     this->directory.applyList({replicaOf("a"), replicaOf("b")}, {}, this->clock.now());
     CHECK(this->directory.applyList({}, this->soon(), this->clock.now()).empty());
     CHECK(this->knows("a"));
@@ -86,8 +87,8 @@
 TEST_CASE_METHOD(ReplicaDirectoryFixture, "replicas_leavingThenReadyInOneLife_staysLeaving",
                  "[routing]")
 {
-    // A list that lags says ready again after the upstream said that it leaves. New work sent
-    // there would be cut when it exits.
+    // A stale list shows an upstream as ready after it has reported that it is draining. Guards
+    // against new requests that would be cut off when it stops.
     this->directory.applyEntry(replicaOf("a", true));
     this->directory.applyEntry(replicaOf("a", false));
     CHECK(this->directory.all().at("a").draining);
@@ -115,9 +116,10 @@
 TEST_CASE_METHOD(ReplicaDirectoryFixture, "replicas_mostOfAServiceRemovedAtOnce_areKeptForAWhile",
                  "[routing]")
 {
-    // The store falls silent while this router's watch waits, and entries lapse. When it is back
-    // the watch tells of their removal like of any other: nothing failed here. All upstreams work
-    // on; were they dropped, every request would be refused until they are back in the list.
+    // The store has an outage while this router's watch is pending, and entries expire. Afterwards
+    // the watch reports their removal like any other, and no call has failed. Guards against
+    // removing all upstreams, which are running, and rejecting every request until they are listed
+    // again.
     for (const char *id : {"a", "b", "c", "d"}) {
         this->directory.applyEntry(replicaOf(id));
     }
@@ -143,8 +145,8 @@
 
 TEST_CASE_METHOD(ReplicaDirectoryFixture, "replicas_releaseOneByOne_dropsEachAtOnce", "[routing]")
 {
-    // The upstreams of a service are replaced one after the other, without a word of their leaving.
-    // Each must be dropped when its entry goes: it serves only for seconds from then on.
+    // The upstreams of a service are replaced one after the other without notice of draining. Each
+    // must be removed as soon as its entry is: it serves for only a few seconds after that.
     for (const char *id : {"a", "b", "c", "d"}) {
         this->directory.applyEntry(replicaOf(id));
     }
@@ -158,9 +160,9 @@
 TEST_CASE_METHOD(ReplicaDirectoryFixture, "replicas_fewAreTakenAway_areDroppedWithinTheDrainBound",
                  "[routing]")
 {
-    // Two of a service's three upstreams are taken away within two seconds, neither says that it
-    // leaves. It looks like a lapse, but the platform never was away: whoever still sends the
-    // second one requests after the drain bound has them cut when it exits.
+    // Two of a service's three upstreams are removed within two seconds without notice of draining.
+    // This looks like expired leases, but there was no outage. Guards against requests to the
+    // second one after the drain bound, which would be cut off when it stops.
     constexpr Milliseconds drainBound{2000};
     ReplicaDirectory bounded(suspectedExpiryGrace(drainBound));
     for (const char *id : {"a", "b", "c"}) {
--- a/tests/routercontacts.cpp
+++ b/tests/routercontacts.cpp
@@ -28,7 +28,7 @@
         return contact;
     }
 
-    /// \returns how many are told.
+    /// \returns the number of routers to which updates are sent.
     std::size_t tell(BroadcastScope wave = BroadcastScope::Due)
     {
         std::size_t told = 0;
@@ -47,8 +47,9 @@
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_replacedForMonths_keepsOnlyLiveAndSeeds",
                  "[routing]")
 {
-    // Each restart of a VM may bring a new address. The dead ones must not be told news for ever,
-    // but a seed is: by it two halves of a fleet meet that were cut apart for longer than that.
+    // Each restart of a VM may bring a new address. Guards against sending updates to the old ones
+    // forever; a seed is kept, because through it two parts of a fleet meet again after a partition
+    // longer than contactRetention.
     this->contacts.addSeed(addressOf(1), this->clock.now());
     for (int number = 2; number <= 100; ++number) {
         this->contacts.add(addressOf(number), this->clock.now());
@@ -91,10 +92,10 @@
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_fleetOf300_tellsWhatAThinLinkCarries",
                  "[routing]")
 {
-    // 75 routers of this data centre and 225 of three others, some of whose datagrams are lost. At
-    // one pause for all that was as long as the silence after which a router counts as gone, each
-    // loss removed members; their return was told to everybody at once, with long lists of others:
-    // 1 MB/s a router over links of 1.2 MB/s, so that more and more was lost.
+    // 75 routers in this data centre and 225 in three others, with some datagrams lost. Guards
+    // against one interval for all that equals the failure timeout: each loss then removed members,
+    // whose return was broadcast at once with long member lists. Each router sent 1 MB/s over links
+    // of 1.2 MB/s, so that more and more was lost.
     constexpr int routers = 300;
     constexpr int near = 75;
     std::size_t datagrams = 0;
@@ -102,7 +103,7 @@
     constexpr int seconds = 60;
     for (int turn = 0; turn < seconds * 10; ++turn) {
         for (int number = 1; number < routers; ++number) {
-            // Each is heard at the pace at which it tells; every fifth datagram is lost.
+            // Each router is heard at its sending interval; every fifth datagram is lost.
             const bool isNear = number < near;
             const int every = isNear ? 5 : 38;
             const bool isLost = (turn / every + number) % 5 == 0;
@@ -147,7 +148,8 @@
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_backAtAnotherAddress_isNotGone",
                  "[routing]")
 {
-    // A router is replaced under its name: its old address falls silent, the router does not.
+    // A router is replaced under the same name: its old address stops responding, but the router is
+    // alive.
     this->hear(1);
     this->clock.advance(peerTimeout - Milliseconds{1});
     this->hear(9).id = "router-1";
@@ -177,8 +179,8 @@
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_allRouters_agreeOnAnEnginesKeeper",
                  "[routing]")
 {
-    // Keepers count exactly what runs on an engine; two of them for one engine would each grant its
-    // whole bound.
+    // Coordinators count exactly which requests run on an engine. Guards against two coordinators
+    // of one engine, which would each grant its whole load bound.
     for (int number = 1; number <= 5; ++number) {
         this->hear(number, number < 3 ? "hall-a" : "hall-b");
     }
@@ -199,7 +201,7 @@
         CHECK((there ? *there == *here : *here == addressOf(5)));
         keepers.insert(here->host);
     }
-    // All of the engine's data centre take their part.
+    // All routers of the engine's data centre become coordinators of some engines.
     CHECK(keepers.size() == 3);
 }
 
@@ -221,7 +223,8 @@
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_manyKnowMore_nearOnesAreAskedInTurn",
                  "[routing]")
 {
-    // A large configuration over one thin link takes seconds if all ask the same router.
+    // Guards against all routers asking the same one for a large configuration, which would take
+    // seconds over its one slow link.
     for (int number = 1; number <= 8; ++number) {
         this->hear(number, number <= 4 ? "hall-a" : "hall-b").configVersion = 9;
     }
@@ -253,8 +256,9 @@
 
 TEST_CASE("storeWatch_wholeFleetStartsAtABusyPlatform_onlyTheChosenAskOn", "[routing]")
 {
-    // 240 routers lose power together and list 43 pages each. The platform refuses most calls; as
-    // long as all ask on, hardly a list comes to its end, and nobody is served for half a minute.
+    // 240 routers lose power together and list 43 pages each on restart. The platform rejects most
+    // calls. Guards against all routers retrying: hardly any list would be completed, and no
+    // requests would be served for half a minute.
     WatchConditions situation;
     situation.sinceServedRouter = watchTakeoverDelay;
     situation.sinceStart = watchTakeoverDelay;
@@ -271,8 +275,8 @@
 
 TEST_CASE("storeWatch_allWatchersDie_othersTakeOverAlsoAtABusyPlatform", "[routing]")
 {
-    // A router that serves by what it knows must not wait: an edit has to be in force in two
-    // seconds.
+    // Guards against waiting in a router that serves from known state: an edit has to be in force
+    // within two seconds.
     WatchConditions situation;
     situation.knowsOthers = true;
     situation.knowsUpstreams = true;
@@ -289,7 +293,7 @@
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_allReceiveAll_nobodyLacksAddresses",
                  "[routing]")
 {
-    // Guards against a settled fleet that goes on sending lists of addresses that all have.
+    // Guards against a stable fleet that keeps sending lists of addresses that all routers have.
     constexpr std::size_t others = 194;
     for (int number = 1; number <= static_cast<int>(others); ++number) {
         this->hear(number, number <= 30 ? "hall-a" : "hall-b").aliveRouters = others;
@@ -313,7 +317,7 @@
     CHECK(alive == 3);
     CHECK(this->contacts.lacksAddresses(addressOf(3), alive));
     CHECK_FALSE(this->contacts.lacksAddresses(addressOf(4), alive));
-    // A failed router counts for nobody.
+    // A failed router is not counted.
     this->clock.advance(peerTimeout);
     this->hear(1).aliveRouters = 2;
     this->hear(2).aliveRouters = 2;
@@ -324,7 +328,7 @@
 TEST_CASE_METHOD(RouterContactsFixture, "routerContacts_firstWatcherFails_standbyIsFirst",
                  "[routing]")
 {
-    // Guards against a data centre whose standby waits for a watcher that is gone.
+    // Guards against a data centre whose standby waits for a watcher that has failed.
     std::map<std::string, RouterContacts> fleet;
     for (int number = 0; number < 5; ++number) {
         const std::string id = "router-" + std::to_string(number);
@@ -367,7 +371,7 @@
 TEST_CASE_METHOD(RouterContactsFixture,
                  "routerContacts_foundAtOnce_updatesAreSpreadOverTheInterval", "[routing]")
 {
-    // Guards against a fleet that starts together and sends each other all far updates in one
+    // Guards against a fleet that starts at once and sends all updates to other data centres in one
     // burst, between which a data centre seems unresponsive.
     constexpr int far = 160;
     for (int number = 1; number <= far; ++number) {
@@ -384,7 +388,7 @@
         sent += turn > 0 ? now : 0;
         most = turn > 0 ? std::max(most, now) : 0;
     }
-    // Six a turn by the interval of 160 routers.
+    // Six per turn, by the interval for 160 routers.
     CHECK(sent / 199 >= 5);
     CHECK(sent / 199 <= 7);
     CHECK(most < 20);
--- a/tests/serviceestimator.cpp
+++ b/tests/serviceestimator.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Engines with given figures, behind queues that now and then hold a request up.
+/// Simulates engines of given performance, behind queues that delay some of the requests.
 class ServiceEstimatorFixture
 {
 protected:
@@ -31,7 +31,8 @@
             std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(delay))};
     }
 
-    /// Own parts of lognormal size, every sixth with a prefix of thousands of tokens.
+    /// Prompts have their own part of lognormal size; every sixth one has a prefix of thousands of
+    /// tokens to prefill.
     void serve(ServiceEstimator &estimator, int requests)
     {
         std::lognormal_distribution<double> ownPart(5.5, 1.2);
@@ -65,7 +66,7 @@
     CHECK(estimator.ownReport().prefillSamples == 0.0);
 }
 
-// Guards against a placement by the figures of another deployment's engines.
+// Guards against placing requests by the performance of another deployment's engines.
 TEST_CASE_METHOD(ServiceEstimatorFixture, "estimator_enginesOfManyKinds_findsTheirFigures",
                  "[routing]")
 {
@@ -82,7 +83,7 @@
     CHECK(isWithin(figures.baseDelay, this->engine.baseDelay, 1.4));
 }
 
-// Guards against an estimate that outlives the engines it was made of.
+// Guards against an estimate that no longer matches after the engines were replaced.
 TEST_CASE_METHOD(ServiceEstimatorFixture, "estimator_enginesReplacedBySlowerOnes_followsThem",
                  "[routing]")
 {
@@ -107,7 +108,8 @@
     CHECK(isWithin(estimator.performance(this->clock.now()).prefillRate, before, 1.5));
 }
 
-// Guards against a window so short that a few queued answers throw the estimate far off.
+// Guards against an effective window so short that a few queued responses move the estimate far
+// off.
 TEST_CASE_METHOD(ServiceEstimatorFixture, "estimator_manySamples_staysNearTheTruth", "[routing]")
 {
     this->engine.prefillRate = GENERATE(25.0, 110.0);
@@ -134,7 +136,7 @@
           == Approx(ServicePerformance{}.prefillRate));
 }
 
-// Guards against a broken report that turns every estimate into no number.
+// Guards against an invalid report that turns every estimate into NaN.
 TEST_CASE_METHOD(ServiceEstimatorFixture, "estimator_invalidReport_isIgnored", "[routing]")
 {
     ServiceEstimator estimator;
@@ -146,7 +148,7 @@
           == Approx(ServicePerformance{}.prefillRate));
 }
 
-// Guards against a weight that is no number.
+// Guards against a sample count that is NaN.
 TEST_CASE_METHOD(ServiceEstimatorFixture, "estimator_invalidSampleCount_isIgnored", "[routing]")
 {
     ServiceEstimator estimator;
--- a/tests/sharedmap.cpp
+++ b/tests/sharedmap.cpp
@@ -28,8 +28,8 @@
 
 TEST_CASE("sharedMap_anyEdits_everyCopyStaysAsItWasTaken", "[sharedmap]")
 {
-    // A request holds a view while edits go on. A node changed in place would show it half of a
-    // later edit: a workspace's new data class under the old view's version.
+    // A request holds a snapshot while edits go on. A node changed in place would show it half of a
+    // later edit: a workspace's new data class under the old snapshot's version.
     CHECK(rc::check([] {
         Plain plain;
         Shared shared;
--- a/tests/silentstore.cpp
+++ b/tests/silentstore.cpp
@@ -8,7 +8,8 @@
 TEST_CASE_METHOD(GatewayFixture, "gateway_storeNeverAnswersWatch_editIsInForceAllTheSame",
                  "[gateway]")
 {
-    // Guards against serving by old configuration while a watch waits that nobody will answer.
+    // Guards against using an outdated configuration while a watch waits that never gets a
+    // response.
     this->start();
     this->ignoreWatches();
     this->editConfigSilently(8);
--- a/tests/slotsync.cpp
+++ b/tests/slotsync.cpp
@@ -13,11 +13,11 @@
 constexpr std::size_t routerCount = 3;
 constexpr std::size_t keeperCount = 2;
 
-/// What is left out on purpose, to show that the checkers see it.
+/// Deliberate omissions, to show that the checkers detect them.
 enum class Broken : std::uint8_t { Nothing, NoDigest, NoBound, NoLists };
 
-/// Routers and two rival keepers with lossy datagrams between them; the routers' own tables say
-/// what really runs.
+/// Routers and two rival coordinators over lossy datagrams; the routers' own tables hold what
+/// really runs.
 class History
 {
 public:
@@ -57,14 +57,14 @@
         this->now += Milliseconds{100};
     }
 
-    /// All routers agree on one keeper and tell it what they hold, without loss.
+    /// All routers agree on one coordinator and report what they hold, without loss.
     void settle()
     {
         this->keeperOfRouter.fill(0);
         this->digests();
     }
 
-    /// \returns whether the first keeper counts exactly what runs.
+    /// \returns whether the first coordinator counts exactly what runs.
     [[nodiscard]] bool keeperIsExact() const
     {
         std::map<UpstreamId, std::uint32_t> running;
@@ -86,14 +86,15 @@
         const SlotReply reply = this->keepers.at(keeper).grant(
             router, {askId, theShard, chat, chat, {}}, this->view, keeper == 0, this->now);
         if (lost || reply.verdict != SlotVerdict::Granted) {
-            // The answer is lost, the asker gives up, and its release is lost too.
+            // The reply is lost, the requester gives up, and its release is lost too.
             return;
         }
         this->held.at(router)[askId] = reply.upstream;
         this->check(reply.upstream);
     }
 
-    /// The sum of two keepers' grants stays within the bound of the sum of their peaks, and one.
+    /// The sum of two coordinators' grants exceeds the bound of the sum of their peaks by at most
+    /// one.
     void check(UpstreamId upstream)
     {
         std::uint64_t peaks = 1;
@@ -173,7 +174,7 @@
     bool exact = true;
 };
 
-/// Plays one generated history and says what held.
+/// Runs one generated history. \returns which invariants held.
 Verdicts playHistory(Broken broken)
 {
     History history(broken);
@@ -189,9 +190,9 @@
 
 TEST_CASE("slotSync_lostRelease_slotStaysUntilTheDigestDiffers", "[slotsync]")
 {
-    // A request ends and its release is lost. Without more the slot would stay for ever and the
-    // engine get less and less work. The router's next digest differs, the keeper asks for the
-    // list and gives back what isn't in it.
+    // A request ends and its release is lost. Without reconciliation the slot would leak and the
+    // engine get less and less work. The router's next digest differs, and the coordinator requests
+    // the list and releases what isn't in it.
     ShardCoordinator keeper;
     const TimePoint now{Seconds{1}};
     const GrantContext view{{11, 22}, {}, false};
@@ -208,8 +209,8 @@
 
 TEST_CASE("slotSync_askUnderWay_isNotTakenBack", "[slotsync]")
 {
-    // The keeper has granted ask 2, its answer is still under way, and the router's digest comes
-    // in between. The digest only counts asks below the oldest one under way.
+    // The coordinator has granted request 2, its reply is still in transit, and the router's digest
+    // arrives in between. The digest only counts requests below the oldest one in transit.
     ShardCoordinator keeper;
     const TimePoint now{Seconds{1}};
     const GrantContext view{{11, 22}, {}, false};
@@ -222,8 +223,8 @@
 
 TEST_CASE("slotSync_handedOverList_keepsWhatTheNextKeeperGranted", "[slotsync]")
 {
-    // A leaving keeper hands over what it knows of router 1, which has already got slot 3 from the
-    // next keeper. The handed-over list must not take that one back.
+    // A leaving coordinator hands over what it knows of router 1, which has already got slot 3 from
+    // the next coordinator. The handed-over list must not release that one.
     ShardCoordinator old;
     ShardCoordinator next;
     const TimePoint now{Seconds{1}};
@@ -258,8 +259,9 @@
 
 TEST_CASE("slotSync_anyHistory_boundHoldsAndCountsBecomeExact", "[slotsync]")
 {
-    // Datagrams are lost, routers die and disagree on the keeper. Two keepers together never load
-    // an engine above the bound of their sum and one, and one digest later the keeper is exact.
+    // Datagrams are lost, routers crash and disagree on the coordinator. Two coordinators together
+    // never load an engine above the bound of their sum plus one, and one digest later the
+    // coordinator is exact.
     CHECK(rc::check("bound and exactness", [] {
         const Verdicts verdicts = playHistory(Broken::Nothing);
         RC_ASSERT(verdicts.bound);
@@ -281,7 +283,7 @@
 
 namespace {
 
-/// A plan for a generated fleet and catalogue; \a broken ones go anywhere.
+/// Plans placement for a generated fleet and catalogue; \a broken plans ignore permissions.
 bool planStaysInside(bool broken)
 {
     const std::vector<std::string> places{"a", "b", "c", "d"};
